--- a/router/src/main/java/stagepier/Api.java
+++ b/router/src/main/java/stagepier/Api.java
@@ -13,7 +13,7 @@
  */
 public final class Api {
     /** The module reports to other balancers so often on the mean, in shortest deadlines. */
-    public static final double REPORTS_EVERY = 0.18;
+    public static final double REPORT_PERIOD_IN_DEADLINES = 0.18;
 
     private Api() {}
 
@@ -94,7 +94,7 @@
     /**
      * A class of requests.
      *
-     * @param aim         answers within this time earn full worth
+     * @param target         answers within this time earn full worth
      * @param deadline    the client gives up after this time, over all its tries
      * @param lateWorth   part of the worth that an answer between aim and deadline earns
      * @param dedupWindow for keyed ones: how long a repeat is dropped, from the first send that may have run
@@ -104,7 +104,7 @@
             Repeat repeat,
             Scope dedupScope,
             double dedupWindow,
-            double aim,
+            double target,
             double deadline,
             double worth,
             double lateWorth,
@@ -116,7 +116,7 @@
     /**
      * What the host permits. A {@code maxRetryAfter} of 0 means that clients get no advice.
      *
-     * @param peers balancers may tell each other {@link News}
+     * @param peers balancers may tell each other {@link ServerReport}
      */
     public record Limits(
             int maxAttempts,
@@ -144,7 +144,7 @@
      * @param inFlight its attempts that are out there
      * @param open     it has a circuit open against it
      */
-    public record News(long server, int inFlight, boolean open) {}
+    public record ServerReport(long server, int inFlight, boolean open) {}
 
     /**
      * What all other balancers told of a server, added up.
@@ -152,10 +152,10 @@
      * @param inFlight their attempts that are out there
      * @param open     how many of them have a circuit open against it
      */
-    public record Elsewhere(long server, int inFlight, int open) {
+    public record PeerTotals(long server, int inFlight, int open) {
         /** A server of which nobody reports anything. */
-        public static Elsewhere nothing(long server) {
-            return new Elsewhere(server, 0, 0);
+        public static PeerTotals none(long server) {
+            return new PeerTotals(server, 0, 0);
         }
     }
 
@@ -205,7 +205,7 @@
             boolean listOnRequest) {
         /** Mean seconds between two reports of the module to other balancers. */
         public double reportPeriod() {
-            return REPORTS_EVERY
+            return REPORT_PERIOD_IN_DEADLINES
                     * classes.stream().mapToDouble(RequestClass::deadline).min().orElseThrow();
         }
     }
@@ -232,7 +232,7 @@
             boolean write) {}
 
     /** A ring that has taken over part of the keys from the module's own. Immutable. */
-    public interface Promoted {
+    public interface PromotedRing {
         boolean holds(long key);
 
         HashRing ring();
@@ -280,14 +280,14 @@
         /** A probe asked for by {@link Host#probe} ended. */
         default void onProbe(double now, long server, Outcome outcome, double elapsed, float[] report) {}
 
-        /** What all other balancers report of these servers may have changed, see {@link Host#elsewhere}. */
+        /** What all other balancers report of these servers may have changed, see {@link Host#peerTotals}. */
         default void onPeers(double now, Collection<Long> changed) {}
 
         /** Another ring has part of the keys from now on; null for none. */
-        default void onPromoted(double now, Promoted map) {}
+        default void onPromoted(double now, PromotedRing map) {}
 
         /** Whether a server is to be spared what is not needed. Changes nothing. */
-        default boolean spares(double now, long server) {
+        default boolean avoidsOptionalLoad(double now, long server) {
             return false;
         }
     }
@@ -324,19 +324,19 @@
         void watchMembers();
 
         /** Tells all other balancers. What matters most comes first, for a message is short; it may be lost. */
-        default void tellPeers(List<News> news) {}
+        default void reportToPeers(List<ServerReport> news) {}
 
         /** What all other balancers report of a server, added up; {@link Events#onPeers} tells when it changes. */
-        default Elsewhere elsewhere(long server) {
-            return Elsewhere.nothing(server);
+        default PeerTotals peerTotals(long server) {
+            return PeerTotals.none(server);
         }
 
         /** How many attempts each one in these sums stands for on the mean; sums vary as much more. */
-        default double elsewhereWeight() {
+        default double peerWeight() {
             return 1;
         }
 
         /** A line for the operators. */
-        void note(String text);
+        void logMessage(String text);
     }
 }
--- a/router/src/main/java/stagepier/Pending.java
+++ b/router/src/main/java/stagepier/Pending.java
@@ -34,7 +34,7 @@
         this.rules = rules;
         this.point = point;
         deadlineAt = now + request.budget();
-        aimAt = now + rules.aim();
+        aimAt = now + rules.target();
         on = new Server[Math.max(1, Math.min(MOST_ATTEMPTS, maxAttempts))];
         sentAt = new double[on.length];
     }
--- a/router/src/main/java/stagepier/RoutingPolicy.java
+++ b/router/src/main/java/stagepier/RoutingPolicy.java
@@ -84,7 +84,7 @@
 
     private static final long TELL_TOKEN = -2;
     /** Peers are told so often, by so many balancers: fewer see enough, and would only move keys about. */
-    private static final double TELLS_EVERY = Api.REPORTS_EVERY;
+    private static final double TELLS_EVERY = Api.REPORT_PERIOD_IN_DEADLINES;
 
     private static final int MANY = 7;
     /** So many others with an open circuit make a server suspect here, too: no single one is believed. */
@@ -99,7 +99,7 @@
 
     private final HashRing ring = new HashRing();
     /** Its ring has part of the keys; null for none. */
-    private Promoted promoted;
+    private PromotedRing promoted;
 
     private final Map<Long, Server> servers = new HashMap<>();
     private final List<Server> slots = new ArrayList<>();
@@ -159,7 +159,7 @@
                 .getAsDouble();
         warmFades = RATE_SPANS * Math.max(settings.protection().overloadSpan(), deadline);
         memory = EVIDENCE_FADES * deadline;
-        usualAim = settings.classes().get(0).aim();
+        usualAim = settings.classes().get(0).target();
         ownAnswersOnly = through && settings.weights() != WeightMeaning.LIVE;
         tenants = new TenantShares(settings.tenants());
     }
@@ -246,12 +246,12 @@
     }
 
     @Override
-    public void onPromoted(double now, Promoted map) {
+    public void onPromoted(double now, PromotedRing map) {
         promoted = map;
     }
 
     @Override
-    public boolean spares(double now, long server) {
+    public boolean avoidsOptionalLoad(double now, long server) {
         Server s = servers.get(server);
         boolean well = s != null && s.weight > 0 && !s.breaker.isOpen && s.openElsewhere == 0 && !s.saidFull;
         return !well || s.shedder.admitted(now, deadline) < 1 || s.bulkhead.full(due(sentOut.usual, s));
@@ -299,7 +299,7 @@
         if (request.costHint() > 0) {
             usualWork += (request.costHint() - usualWork) / Math.min(++hints, 1 / Latency.GAIN);
         }
-        usualAim += Latency.GAIN * (rules.aim() - usualAim);
+        usualAim += Latency.GAIN * (rules.target() - usualAim);
         p.overShare = tenants.exceeds(now, request.tenant(), memory, random);
         fetches.pass(now, GATE_OPENS * deadline);
         p.heat = request.key() == 0 ? 0 : keys.count(now, request.key(), POPULARITY_FADES * deadline);
@@ -371,7 +371,7 @@
                 continue;
             }
             // Whoever is busy by chance is passed over, but few are asked: a key on many misses on many.
-            double busyFrom = Bulkhead.busyFrom(due(sentOut.usual + elsewhere, s), host.elsewhereWeight());
+            double busyFrom = Bulkhead.busyFrom(due(sentOut.usual + elsewhere, s), host.peerWeight());
             if (share < 1 && HashRing.fraction(p.point ^ s.id) >= share * COLD_SHARE) {
                 spare = spare == null && p.out == 0 && s.bulkhead.inFlight < busyFrom ? s : spare;
                 continue;
@@ -399,7 +399,7 @@
         double recent = Math.exp((s.lagAt - now) / (HINT_FADES * deadline));
         double wait = (s.lag - common) * recent + common - unhurried();
         double first = p.overShare ? OVER_SHARE_FIRST : 1;
-        double over = first * wait / p.rules.aim() - (through ? CROWD_FROM_THROUGH : LoadShedder.FROM);
+        double over = first * wait / p.rules.target() - (through ? CROWD_FROM_THROUGH : LoadShedder.FROM);
         double told = Math.pow(s.shedder.admitted(now, deadline), first);
         double admitted = Math.max(LoadShedder.LEAST, Math.min(1 - over / CROWD_RAMP, told));
         return tells && admitted < 1 && HashRing.fraction(p.point + s.id) >= admitted;
@@ -452,7 +452,7 @@
         }
         boolean repeatable = p.rules.repeat() == Repeat.SAFE && !p.rules.streamed() && p.on.length > 1;
         boolean known = settings.limits().concurrentAttempts() && cacheLatency.seen >= FailureRate.BELIEF;
-        if (repeatable && known && cacheLatency.late() < COPY_BEFORE * p.rules.aim()) {
+        if (repeatable && known && cacheLatency.late() < COPY_BEFORE * p.rules.target()) {
             host.setTimer(cacheLatency.late(), p.request.id());
         }
         if (through && !p.expectsHit) {
@@ -627,7 +627,7 @@
     private void end(Pending p) {
         long id = p.request.id();
         if (p.mayRefuse()) {
-            double after = p.rules.aim() * (RETRY_AFTER_MIN + RETRY_AFTER_SPREAD * random.nextDouble());
+            double after = p.rules.target() * (RETRY_AFTER_MIN + RETRY_AFTER_SPREAD * random.nextDouble());
             host.refuse(id, Math.min(after, settings.limits().maxRetryAfter()));
         } else {
             host.fail(id);
@@ -658,7 +658,7 @@
         } else if (token == TELL_TOKEN) {
             tell(now);
         } else if (waits && now >= p.aimAt && !p.late) {
-            if (now > p.aimAt + WOKE_LATE * p.rules.aim()) {
+            if (now > p.aimAt + WOKE_LATE * p.rules.target()) {
                 // It is this balancer that is late: the answer may lie here unread.
                 return;
             }
@@ -677,11 +677,11 @@
 
     /** Tells what no other can see: with many balancers, each alone sees too little of any server. */
     private void tell(double now) {
-        host.tellPeers(slots.stream()
+        host.reportToPeers(slots.stream()
                 .filter(s -> s != null && s.ready && (s.bulkhead.inFlight > 0 || s.breaker.isOpen))
-                .map(s -> new News(s.id, s.bulkhead.inFlight, s.breaker.isOpen))
-                .sorted(Comparator.comparing(News::open)
-                        .thenComparing(News::inFlight)
+                .map(s -> new ServerReport(s.id, s.bulkhead.inFlight, s.breaker.isOpen))
+                .sorted(Comparator.comparing(ServerReport::open)
+                        .thenComparing(ServerReport::inFlight)
                         .reversed())
                 .toList());
         host.setTimer(TELLS_EVERY * deadline * (0.5 + random.nextDouble()), TELL_TOKEN);
@@ -694,7 +694,7 @@
 
     /** What others report of a server counts as long as it is ready. */
     private void lookElsewhere(Server s) {
-        Elsewhere sum = s.ready ? host.elsewhere(s.id) : Elsewhere.nothing(s.id);
+        PeerTotals sum = s.ready ? host.peerTotals(s.id) : PeerTotals.none(s.id);
         elsewhere += sum.inFlight() - s.elsewhere;
         s.elsewhere = sum.inFlight();
         s.openElsewhere = sum.open();
--- a/router/src/main/java/stagepier/adapter/Adapter.java
+++ b/router/src/main/java/stagepier/adapter/Adapter.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import stagepier.Api;
 import stagepier.RoutingPolicy;
-import stagepier.peers.NewsCodec;
 import stagepier.peers.PeerReport;
+import stagepier.peers.PeerReportCodec;
 import stagepier.peers.PeerReports;
 import stagepier.settings.SettingsException;
 import stagepier.settings.SettingsParser;
@@ -281,7 +281,7 @@
         byte[] message = record.bytes(record.u16());
         PeerReport report;
         try {
-            report = NewsCodec.decode(message);
+            report = PeerReportCodec.decode(message);
         } catch (IllegalArgumentException e) {
             // Not this program's: nobody has to understand it.
             return;
--- a/router/src/main/java/stagepier/adapter/ReplyWriter.java
+++ b/router/src/main/java/stagepier/adapter/ReplyWriter.java
@@ -113,7 +113,7 @@
             }
 
             @Override
-            public void tellPeers(List<Api.News> news) {
+            public void reportToPeers(List<Api.ServerReport> news) {
                 byte[] message = peers.message(time, news);
                 if (message != null) {
                     share(instance, message);
@@ -121,17 +121,17 @@
             }
 
             @Override
-            public Api.Elsewhere elsewhere(long server) {
+            public Api.PeerTotals peerTotals(long server) {
                 return peers.of(server);
             }
 
             @Override
-            public double elsewhereWeight() {
+            public double peerWeight() {
                 return peers.weight();
             }
 
             @Override
-            public void note(String line) {
+            public void logMessage(String line) {
                 text(NOTE_DOWN, instance, line);
             }
         };
--- a/router/src/main/java/stagepier/app/Config.java
+++ b/router/src/main/java/stagepier/app/Config.java
@@ -43,34 +43,34 @@
     private static final int SOCKETS_LEAST = 128;
 
     /** A configuration with which the program cannot start; the message is one line. */
-    static final class BadConfigException extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadConfigException(String message) {
+        InvalidConfigException(String message) {
             this(message, null);
         }
 
-        BadConfigException(String message, IOException cause) {
+        InvalidConfigException(String message, IOException cause) {
             super(message.replaceAll("\\s+", " "), cause);
         }
     }
 
-    static Config read(String path) throws BadConfigException {
+    static Config read(String path) throws InvalidConfigException {
         if (path == null || path.isEmpty()) {
-            throw new BadConfigException("GW_CONFIG names no file");
+            throw new InvalidConfigException("GW_CONFIG names no file");
         }
         try {
             return parse(Files.readString(Path.of(path)), System.getenv());
         } catch (IOException e) {
-            throw new BadConfigException("GW_CONFIG: cannot read " + path, e);
+            throw new InvalidConfigException("GW_CONFIG: cannot read " + path, e);
         }
     }
 
-    static Config parse(String text) throws BadConfigException {
+    static Config parse(String text) throws InvalidConfigException {
         return parse(text, Map.of());
     }
 
-    static Config parse(String text, Map<String, String> environment) throws BadConfigException {
+    static Config parse(String text, Map<String, String> environment) throws InvalidConfigException {
         try {
             JsonObject o = JsonParser.parseString(text).getAsJsonObject();
             JsonElement known = o.get("known");
@@ -94,7 +94,7 @@
                 | UnsupportedOperationException
                 | IllegalArgumentException
                 | SettingsException e) {
-            throw new BadConfigException("configuration: " + e.getMessage());
+            throw new InvalidConfigException("configuration: " + e.getMessage());
         }
     }
 
--- a/router/src/main/java/stagepier/app/StaffCalls.java
+++ b/router/src/main/java/stagepier/app/ConsoleOperations.java
@@ -19,8 +19,8 @@
 import stagepier.tasks.GuardedTask;
 
 /** Does what staff ask of the running router. On the event loop. */
-final class StaffCalls implements Operations {
-    private static final Logger LOG = LoggerFactory.getLogger(StaffCalls.class);
+final class ConsoleOperations implements Operations {
+    private static final Logger LOG = LoggerFactory.getLogger(ConsoleOperations.class);
     /** What another process was told is looked for so often: well inside the grace of the drain rule. */
     private static final int LOOK_MS = 100;
 
@@ -29,11 +29,12 @@
     private final HostGroup hosts;
     private final Consumer<HostGroup.Change> changed;
     /** Null where this router decides nothing together with others. */
-    private final FleetWork fleet;
+    private final FleetCoordinator fleet;
     /** Null where there is no folder to share. */
     private final BanFiles files;
 
-    StaffCalls(Clock clock, Drain drain, HostGroup hosts, Consumer<HostGroup.Change> changed, FleetWork fleet) {
+    ConsoleOperations(
+            Clock clock, Drain drain, HostGroup hosts, Consumer<HostGroup.Change> changed, FleetCoordinator fleet) {
         this.fleet = fleet;
         this.clock = clock;
         this.drain = drain;
@@ -59,8 +60,8 @@
     }
 
     private void look() {
-        report(hosts.apply(files.news()));
-        hosts.bans().forget(clock.now()).forEach(files::drop);
+        report(hosts.apply(files.readChanges()));
+        hosts.bans().forget(clock.now()).forEach(files::delete);
     }
 
     private void report(HostGroup.Change change) {
@@ -100,7 +101,7 @@
         if (!hosts.knows(server)) {
             return Result.no("no cache server " + server + " was ever listed");
         }
-        if (hosts.bans().isOut(server) == out) {
+        if (hosts.bans().isBanned(server) == out) {
             return Result.yes(server + (out ? " is out already" : " is not out"));
         }
         String frozen = out || fleet == null
@@ -110,7 +111,7 @@
             return Result.no(server + " stays out: " + frozen);
         }
         Ban ban = new Ban(server, out, hosts.bans().stamp(server, clock.now()));
-        String kept = files == null || files.keep(ban) ? "" : ", but other processes are not told yet";
+        String kept = files == null || files.save(ban) ? "" : ", but other processes are not told yet";
         report(hosts.apply(List.of(ban)));
         return Result.yes(server + (out ? " is out" : " is back") + kept);
     }
--- a/router/src/main/java/stagepier/app/FleetWork.java
+++ b/router/src/main/java/stagepier/app/FleetCoordinator.java
@@ -13,18 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stagepier.discovery.HostGroup;
-import stagepier.fleet.BadFleetException;
 import stagepier.fleet.FleetConfig;
 import stagepier.fleet.FleetConfigReader;
-import stagepier.fleet.FleetPart;
+import stagepier.fleet.FleetService;
 import stagepier.fleet.FleetView;
 import stagepier.fleet.History;
+import stagepier.fleet.InvalidFleetFileException;
 import stagepier.fleet.Membership;
-import stagepier.fleet.TcpCalls;
-import stagepier.freeze.AgreedTexts;
+import stagepier.fleet.TcpFleetRpc;
+import stagepier.freeze.AgreedSequence;
 import stagepier.freeze.Calendar;
 import stagepier.freeze.Change;
-import stagepier.freeze.FreezePart;
+import stagepier.freeze.FreezeService;
 import stagepier.freeze.HeldChanges;
 import stagepier.settings.SettingsException;
 import stagepier.shadow.CandidateException;
@@ -37,54 +37,54 @@
  * What this router decides together with others: owns the tasks beside the event loop, and is asked by the loop, which never waits for
  * them. Made only where {@code GW_FLEET} names a file. All that is not said otherwise is called on the event loop.
  */
-final class FleetWork implements TopologyGate.Holder {
-    private static final Logger LOG = LoggerFactory.getLogger(FleetWork.class);
+final class FleetCoordinator implements TopologyGate.Holder {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetCoordinator.class);
     /** By how much the lab sets this process's wall clock off, in milliseconds. */
     private static final String OFFSET = "stagepier.clock.offset.ms";
 
     private static final int LOOK_MS = 100;
     private static final String BUILD =
-            String.valueOf(FleetWork.class.getPackage().getImplementationVersion());
+            String.valueOf(FleetCoordinator.class.getPackage().getImplementationVersion());
 
     private final FleetConfig config;
     private final Tasks tasks;
-    private final TcpCalls calls;
+    private final TcpFleetRpc calls;
     private final History history = HistoryLog.get();
     private final Membership view;
     /** Null where there is no calendar. */
-    private final FreezePart freeze;
+    private final FreezeService freeze;
     /** Null where there is no calendar. */
     private final HeldChanges<Runnable> held;
 
     private final long seed;
     /** Null where there is no candidate map. */
-    private ShadowWork shadow;
+    private ShadowCoordinator shadow;
 
-    private AgreedTexts promotions;
-    private final List<FleetPart> parts = new ArrayList<>();
+    private AgreedSequence promotions;
+    private final List<FleetService> parts = new ArrayList<>();
 
-    /** @throws Config.BadConfigException one line: file, line, key and what is wrong */
-    static FleetWork read(String file, String self, long seed) throws Config.BadConfigException {
+    /** @throws Config.InvalidConfigException one line: file, line, key and what is wrong */
+    static FleetCoordinator read(String file, String self, long seed) throws Config.InvalidConfigException {
         try {
             FleetConfig config = FleetConfigReader.read(Path.of(file), self);
             if (config.candidate() != null) {
                 // A slip in it is told before anything starts, as those in the other files are.
                 CandidateFile.read(config.candidate());
             }
-            return new FleetWork(config, seed);
-        } catch (BadFleetException | SettingsException | CandidateException | IOException e) {
-            throw new Config.BadConfigException(e.getMessage());
+            return new FleetCoordinator(config, seed);
+        } catch (InvalidFleetFileException | SettingsException | CandidateException | IOException e) {
+            throw new Config.InvalidConfigException(e.getMessage());
         }
     }
 
-    private FleetWork(FleetConfig config, long seed) {
+    private FleetCoordinator(FleetConfig config, long seed) {
         this.config = config;
         this.seed = seed;
         tasks = new LiveTasks(Clock.offset(Clock.systemUTC(), Duration.ofMillis(Long.getLong(OFFSET, 0))));
-        calls = new TcpCalls(tasks, config, seed);
+        calls = new TcpFleetRpc(tasks, config, seed);
         view = new Membership(tasks, calls, config, history, seed + 1);
         parts.add(view);
-        freeze = config.calendar() == null ? null : new FreezePart(tasks, calls, config, history, seed + 2);
+        freeze = config.calendar() == null ? null : new FreezeService(tasks, calls, config, history, seed + 2);
         if (freeze != null) {
             parts.add(freeze);
         }
@@ -96,20 +96,20 @@
     }
 
     /** Before the start, once the router's parts are there: tries the candidate map beside the real one, where there is one. */
-    void tryCandidate(ShadowWork.Own own) {
+    void tryCandidate(ShadowCoordinator.Own own) {
         if (config.candidate() == null) {
             return;
         }
-        promotions = new AgreedTexts("promotion", tasks, calls, config, history, seed + 3);
-        shadow = new ShadowWork(
-                new ShadowWork.Fleet(
+        promotions = new AgreedSequence("promotion", tasks, calls, config, history, seed + 3);
+        shadow = new ShadowCoordinator(
+                new ShadowCoordinator.Fleet(
                         tasks,
                         calls,
                         config,
                         HistoryLog.STARTED,
                         view::view,
                         this::calendar,
-                        ShadowWork.agreement(promotions),
+                        ShadowCoordinator.agreement(promotions),
                         history),
                 own);
         parts.add(shadow.part());
@@ -117,7 +117,7 @@
 
     /** Descriptors that clients must leave: calls to and from each other router, and links for copies. */
     int descriptors(int sockets) {
-        return 2 * config.members().size() + (config.candidate() == null ? 0 : ShadowWork.links(sockets));
+        return 2 * config.members().size() + (config.candidate() == null ? 0 : ShadowCoordinator.links(sockets));
     }
 
     /** What is taken up of the list. */
@@ -136,9 +136,9 @@
     /** @param zones names of zones, as the settings number them */
     void start(EventLoop loop, HostGroup hosts, List<String> zones, TopologyGate.Later later) {
         if (freeze != null) {
-            hosts.holdBy(new TopologyGate(this, zones, later));
+            hosts.setAdmission(new TopologyGate(this, zones, later));
         }
-        parts.forEach(FleetPart::start);
+        parts.forEach(FleetService::start);
         if (shadow != null) {
             promotions.start();
             shadow.start();
@@ -195,7 +195,7 @@
 
     /** From any thread. */
     void reload() {
-        parts.forEach(FleetPart::reload);
+        parts.forEach(FleetService::reload);
     }
 
     /** The lines of {@code STATUS}. */
--- a/router/src/main/java/stagepier/app/Main.java
+++ b/router/src/main/java/stagepier/app/Main.java
@@ -72,7 +72,7 @@
             CompletableFuture<Void> ready = router.start();
             built.complete(router);
             ready.join();
-        } catch (Config.BadConfigException | IllegalArgumentException e) {
+        } catch (Config.InvalidConfigException | IllegalArgumentException e) {
             exit(BAD_CONFIG, "stagepier: " + e.getMessage());
         } catch (IllegalStateException e) {
             exit(IO_ERROR, "stagepier: cannot start: " + e.getMessage());
@@ -98,7 +98,7 @@
     private static synchronized void reload(Router router, String path) {
         try {
             router.reload(TransientFailures.repeat(() -> Config.read(path)));
-        } catch (Config.BadConfigException e) {
+        } catch (Config.InvalidConfigException e) {
             LoggerFactory.getLogger(Main.class).error("the configuration in force stays: {}", e.getMessage());
         }
     }
--- a/router/src/main/java/stagepier/app/Router.java
+++ b/router/src/main/java/stagepier/app/Router.java
@@ -78,9 +78,9 @@
     /** Null where no console is named. */
     private final ConsoleListener console;
     /** Null where no console is named. */
-    private final StaffCalls staff;
+    private final ConsoleOperations staff;
     /** Null where this router decides nothing together with others. */
-    private final FleetWork fleet;
+    private final FleetCoordinator fleet;
     /** Where the configuration wants discovery to be; the watch is there unless that is held. */
     private InetSocketAddress wanted;
     /** Discovery was asked what there is now, and has said so or not. */
@@ -88,10 +88,10 @@
 
     private boolean listening;
 
-    Router(Config config) throws Config.BadConfigException {
+    Router(Config config) throws Config.InvalidConfigException {
         this.config = config;
         wanted = config.discovery();
-        fleet = config.fleet().isEmpty() ? null : FleetWork.read(config.fleet(), config.name(), config.seed());
+        fleet = config.fleet().isEmpty() ? null : FleetCoordinator.read(config.fleet(), config.name(), config.seed());
         Api.Settings settings = config.settings().settings();
         double drainGrace = settings.protection().drainGrace();
         delay = new LoopDelay(drainGrace);
@@ -122,11 +122,11 @@
             host.connectPeers(
                     new PeerReports(settings, config.settings().names().zones().size(), config.seed()), peers::send);
         }
-        drain.listen((from, to) -> LOG.info("state {} -> {}", from, to));
-        staff = config.console() == null ? null : new StaffCalls(clock, drain, hosts, this::changed, fleet);
+        drain.addListener((from, to) -> LOG.info("state {} -> {}", from, to));
+        staff = config.console() == null ? null : new ConsoleOperations(clock, drain, hosts, this::changed, fleet);
         if (fleet != null) {
             fleet.tryCandidate(
-                    new ShadowWork.Own(loop, clock, config.settings(), config.sockets(), host, pressure, drain));
+                    new ShadowCoordinator.Own(loop, clock, config.settings(), config.sockets(), host, pressure, drain));
         }
         console = config.console() == null ? null : new ConsoleListener(loop, config.console(), staff);
     }
@@ -142,23 +142,23 @@
     private SelectStrategy looking() {
         SelectStrategy usual = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
         return (selectNow, hasTasks) -> {
-            delay.looks(clock.now());
+            delay.onPoll(clock.now());
             return usual.calculateStrategy(selectNow, hasTasks);
         };
     }
 
     private void beat() {
         double now = clock.now();
-        delay.beats(now);
+        delay.onHeartbeat(now);
         if (peers != null) {
             peers.readBatch();
         }
-        if (pressure.isNow(now, delay.mean())) {
+        if (pressure.update(now, delay.mean())) {
             LOG.atInfo()
                     .addKeyValue("state", pressure.state())
                     .addKeyValue("late_ms", Math.round(delay.mean() * 1e3))
                     .log("pressure");
-            clients.acceptInARow(pressure.acceptedInARow());
+            clients.setAcceptBatch(pressure.acceptBatch());
         }
     }
 
@@ -239,7 +239,7 @@
         if (peers != null) {
             peers.start();
         }
-        long beat = (long) (LoopDelay.BEAT * 1e6);
+        long beat = (long) (LoopDelay.HEARTBEAT_INTERVAL * 1e6);
         loop.scheduleWithFixedDelay(new GuardedTask("heartbeat", this::beat), beat, beat, TimeUnit.MICROSECONDS);
     }
 
--- a/router/src/main/java/stagepier/app/ShadowWork.java
+++ b/router/src/main/java/stagepier/app/ShadowCoordinator.java
@@ -10,36 +10,36 @@
 import stagepier.drain.Drain;
 import stagepier.exchange.Clock;
 import stagepier.exchange.ModuleHost;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
-import stagepier.fleet.FleetPart;
+import stagepier.fleet.FleetRpc;
+import stagepier.fleet.FleetService;
 import stagepier.fleet.FleetView;
 import stagepier.fleet.History;
-import stagepier.freeze.AgreedTexts;
+import stagepier.freeze.AgreedSequence;
 import stagepier.freeze.Calendar;
 import stagepier.overload.Pressure;
 import stagepier.server.ServerPools;
 import stagepier.settings.SettingsParser;
 import stagepier.shadow.Agreement;
-import stagepier.shadow.Fitness;
+import stagepier.shadow.Eligibility;
 import stagepier.shadow.RouterState;
 import stagepier.shadow.ServerStates;
 import stagepier.shadow.ShadowCopies;
-import stagepier.shadow.ShadowPart;
+import stagepier.shadow.ShadowService;
 import stagepier.tasks.Tasks;
 
 /**
  * The two halves of the shadow put together: copies on the event loop, and the part beside it. Made only where {@code fleet.toml}
  * names a candidate. All that is not said otherwise is called on the event loop.
  */
-final class ShadowWork {
+final class ShadowCoordinator {
     /** Part of all descriptors that copies may take, and how many at the least and the most. */
     private static final double LINKS_PART = 0.02;
 
     private static final int LINKS_LEAST = 4;
     private static final int LINKS_MOST = 64;
 
-    private final ShadowPart part;
+    private final ShadowService part;
     private final ServerStates servers;
     private final ShadowCopies copies;
 
@@ -50,7 +50,7 @@
      */
     record Fleet(
             Tasks tasks,
-            Calls calls,
+            FleetRpc calls,
             FleetConfig config,
             long incarnation,
             Supplier<FleetView> view,
@@ -68,12 +68,12 @@
             Pressure pressure,
             Drain drain) {}
 
-    ShadowWork(Fleet fleet, Own own) {
+    ShadowCoordinator(Fleet fleet, Own own) {
         Api.Settings settings = own.settings().settings();
         servers = new ServerStates(
                 settings.protection().warmUp(),
-                (now, server) -> own.host().spares(now, server) ? Fitness.CROWDED : Fitness.FIT);
-        part = new ShadowPart(new ShadowPart.Parts(
+                (now, server) -> own.host().avoidsOptionalLoad(now, server) ? Eligibility.CROWDED : Eligibility.FIT);
+        part = new ShadowService(new ShadowService.Parts(
                 fleet.tasks(),
                 fleet.calls(),
                 fleet.config(),
@@ -124,7 +124,7 @@
     }
 
     /** What the fleet agrees on, as promotions need it: one sequence, whatever the topic. */
-    static Agreement agreement(AgreedTexts texts) {
+    static Agreement agreement(AgreedSequence texts) {
         return new Agreement() {
             @Override
             public boolean propose(String topic, String text, Duration most) throws InterruptedException {
@@ -139,7 +139,7 @@
     }
 
     /** To be started, asked for its lines and told of files with the others. */
-    FleetPart part() {
+    FleetService part() {
         return part;
     }
 
--- a/router/src/main/java/stagepier/app/TransientFailures.java
+++ b/router/src/main/java/stagepier/app/TransientFailures.java
@@ -22,20 +22,20 @@
     /** Something that the system may refuse. */
     @FunctionalInterface
     interface Attempt<T> {
-        T run() throws Config.BadConfigException;
+        T run() throws Config.InvalidConfigException;
     }
 
     /**
      * Repeats an attempt while what it throws was caused by the system.
      *
-     * @throws Config.BadConfigException of the last try, or the first that no repetition mends
+     * @throws Config.InvalidConfigException of the last try, or the first that no repetition mends
      */
-    static <T> T repeat(Attempt<T> attempt) throws Config.BadConfigException {
+    static <T> T repeat(Attempt<T> attempt) throws Config.InvalidConfigException {
         long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVES_UP_AFTER_MS);
         for (long tries = 1; ; tries++) {
             try {
                 return attempt.run();
-            } catch (Config.BadConfigException | RuntimeException e) {
+            } catch (Config.InvalidConfigException | RuntimeException e) {
                 if (!isTransient(e) || System.nanoTime() > giveUpAt || !pause()) {
                     throw e;
                 }
--- a/router/src/main/java/stagepier/bans/BanFiles.java
+++ b/router/src/main/java/stagepier/bans/BanFiles.java
@@ -52,7 +52,7 @@
     }
 
     /** Keeps it for other processes; where that cannot be now, as soon as it can. Returns whether it is kept. */
-    public boolean keep(Ban ban) {
+    public boolean save(Ban ban) {
         unwritten.remove(ban.server());
         try {
             write(ban);
@@ -99,7 +99,7 @@
     }
 
     /** Drops what has no more meaning, unless another process has said something since. */
-    public void drop(Ban ban) {
+    public void delete(Ban ban) {
         try {
             Path file = file(ban.server());
             if (ban.equals(read(file))) {
@@ -111,7 +111,7 @@
     }
 
     /** All bans that are kept, if any may be new since this was asked last; none otherwise. */
-    public List<Ban> news() {
+    public List<Ban> readChanges() {
         writeAgain();
         List<Ban> all = new ArrayList<>();
         try {
--- a/router/src/main/java/stagepier/bans/Bans.java
+++ b/router/src/main/java/stagepier/bans/Bans.java
@@ -19,7 +19,7 @@
     private final Map<String, Ban> said = new LinkedHashMap<>();
 
     /** Whether the server is out. */
-    public boolean isOut(String server) {
+    public boolean isBanned(String server) {
         Ban last = said.get(server);
         return last != null && last.out();
     }
--- a/router/src/main/java/stagepier/client/AnswerBytes.java
+++ b/router/src/main/java/stagepier/client/AnswerBytes.java
@@ -64,7 +64,7 @@
     /** Moves on as far as there is room; returns whether that was all. */
     boolean moveTo(Sink sink) {
         while (part < parts.length) {
-            if (flow != null && part == 1 && !flow.isWhole()) {
+            if (flow != null && part == 1 && !flow.isComplete()) {
                 // What ends it is written once it is known to be good to its end.
                 sink.put(flow::moveTo);
                 return false;
--- a/router/src/main/java/stagepier/client/ClientDrain.java
+++ b/router/src/main/java/stagepier/client/ClientDrain.java
@@ -54,7 +54,7 @@
         this.acceptLast = acceptLast;
         this.invariants = invariants;
         step = new GuardedTask("look through the links of a drain", () -> sendAway(clock.now()));
-        drain.listen((from, to) -> follow());
+        drain.addListener((from, to) -> follow());
     }
 
     /** Does what the state of the drain asks for; harmless at any time. */
@@ -84,26 +84,26 @@
         if (drain.isEndingNow(now)) {
             acceptLast.accept(now);
         }
-        if (drain.closesAll(now)) {
+        if (drain.closesAllLinks(now)) {
             settled(now).forEach(link -> ClientListener.act(link, ClientLink::endTaking));
         } else if (drain.phase(now) == Drain.Phase.LAST) {
             settled(now).forEach(link -> ClientListener.act(link, ClientLink::finish));
         } else if (drain.phase(now) == Drain.Phase.LEAVE && sendOneAway(now)) {
-            nextLook = (long) (drain.nextIn(now, links.size()) * 1e6);
+            nextLook = (long) (drain.nextCloseIn(now, links.size()) * 1e6);
         }
     }
 
     /** Once for each drain, at the end of its time. */
     private void checkThatAllAreGone(double now) {
-        double goneBy = drain.goneBy();
-        if (now < goneBy + SLACK || checked == goneBy) {
+        double idleCloseDeadline = drain.idleCloseDeadline();
+        if (now < idleCloseDeadline + SLACK || checked == idleCloseDeadline) {
             return;
         }
-        checked = goneBy;
+        checked = idleCloseDeadline;
         for (ClientLink link : settled(now)) {
             invariants.check(
                     Invariant.GONE_BY_END_OF_DRAIN,
-                    !link.isHeldPast(goneBy),
+                    !link.isHeldPast(idleCloseDeadline),
                     () -> drain.state() + ", a link that is " + link.behaviour());
         }
     }
--- a/router/src/main/java/stagepier/client/ClientLink.java
+++ b/router/src/main/java/stagepier/client/ClientLink.java
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isConnected() {
             return lookIfThere();
         }
     }
@@ -258,10 +258,10 @@
         owner.took(command.kind());
         switch (command.kind()) {
             case GET, SET -> {
-                String objection = owner.host().objection(command);
-                if (objection != null) {
-                    say("CLIENT_ERROR " + objection);
-                } else if (ending || owner.turnsAway()) {
+                String rejection = owner.host().rejection(command);
+                if (rejection != null) {
+                    say("CLIENT_ERROR " + rejection);
+                } else if (ending || owner.rejectsRequests()) {
                     owner.turnedAway(command);
                     say(TURNED_AWAY);
                 } else {
@@ -317,7 +317,7 @@
         if (isClosed()) {
             return;
         }
-        if (!slot.answer.flow().isBroken()) {
+        if (!slot.answer.flow().isFailed()) {
             pump();
         } else if (slot.answer.isBegun()) {
             // Only so can the client see that it is not whole.
@@ -466,11 +466,11 @@
      * Whether it is held as no link may be at the end of a drain's time: with nothing owed, though its client may be in the middle of a
      * command, or with a request that was taken lately.
      */
-    boolean isHeldPast(double goneBy) {
-        if (isClosed() || openedAt >= goneBy - FIRST_WORD_MOST) {
+    boolean isHeldPast(double idleCloseDeadline) {
+        if (isClosed() || openedAt >= idleCloseDeadline - FIRST_WORD_MOST) {
             return false;
         }
-        return isOwed() ? askedAt > goneBy - ASKED_LATELY : slots.isEmpty() && nothingQueued();
+        return isOwed() ? askedAt > idleCloseDeadline - ASKED_LATELY : slots.isEmpty() && nothingQueued();
     }
 
     /** Whether an answer is still to come, or to be passed on. */
--- a/router/src/main/java/stagepier/client/ClientListener.java
+++ b/router/src/main/java/stagepier/client/ClientListener.java
@@ -68,7 +68,7 @@
     /** Since when clients are turned away; NaN before. */
     private double lastSince = Double.NaN;
 
-    private ConnectionSlots.Level level = ConnectionSlots.Level.PLENTY;
+    private ConnectionSlots.Availability level = ConnectionSlots.Availability.PLENTY;
     private final GuardedTask slotsLook = new GuardedTask("look through the client links", this::look);
     private boolean working;
     private long held;
@@ -104,7 +104,7 @@
     }
 
     /** How many connections are accepted in a row from now on. */
-    public void acceptInARow(int most) {
+    public void setAcceptBatch(int most) {
         socket.batch(most);
     }
 
@@ -127,7 +127,7 @@
 
     /** Serves a client on a channel that is being set up. */
     public void adopt(Channel channel) {
-        new ClientLink(this, channel, socket.cameAfter());
+        new ClientLink(this, channel, socket.earliestArrival());
     }
 
     private void lookAgain() {
@@ -136,23 +136,23 @@
                     slotsLook.run();
                     lookAgain();
                 },
-                (long) (ConnectionSlots.lookAgain(level) * 1e6),
+                (long) (ConnectionSlots.checkInterval(level) * 1e6),
                 TimeUnit.MICROSECONDS);
     }
 
     /** Gives back the slots of those who make no use of them. */
     private void look() {
         double now = clock.now();
-        ConnectionSlots.Level was = level;
+        ConnectionSlots.Availability was = level;
         level = slots.level(now, slotsTaken(), held);
         double late = delay.unreadFor(now);
-        if (level != was || level != ConnectionSlots.Level.PLENTY) {
+        if (level != was || level != ConnectionSlots.Availability.PLENTY) {
             logPressure(now);
         }
         for (ClientLink link : new ArrayList<>(links)) {
             ConnectionSlots.Behaviour behaviour = link.behaviour();
             // What a link has said may lie unread: it is no fault of the link that this router is late.
-            if (now - link.since(behaviour) > ConnectionSlots.patience(behaviour, level) + late) {
+            if (now - link.since(behaviour) > ConnectionSlots.holdLimit(behaviour, level) + late) {
                 act(link, impatient -> ended[behaviour.ordinal()] += impatient.giveUp(behaviour) ? 1 : 0);
             } else {
                 act(link, ClientLink::resume);
@@ -241,7 +241,7 @@
 
     /** When bytes that are read now can have come at the earliest. */
     double cameAt(double now) {
-        delay.reads(now);
+        delay.onRead(now);
         return now - delay.unreadFor(now);
     }
 
@@ -257,8 +257,8 @@
     }
 
     /** Whether nothing new is served. */
-    boolean turnsAway() {
-        return drain.turnsAway(clock.now());
+    boolean rejectsRequests() {
+        return drain.rejectsRequests(clock.now());
     }
 
     /**
@@ -302,7 +302,7 @@
 
     /** The answer to {@code mn}. */
     String alive() {
-        return drain.saysYes() ? "MN" : "SERVER_ERROR draining";
+        return drain.reportsAlive() ? "MN" : "SERVER_ERROR draining";
     }
 
     String stats() {
--- a/router/src/main/java/stagepier/client/ListeningSocket.java
+++ b/router/src/main/java/stagepier/client/ListeningSocket.java
@@ -37,7 +37,7 @@
     private final ServerChannelRecvByteBufAllocator batches = new ServerChannelRecvByteBufAllocator();
     private final RateLimitedWarning failures = new RateLimitedWarning(LOG, "a client was not accepted", WARN_EVERY);
     private final AcceptControl control = new AcceptControl(this::failed);
-    private final BacklogWait backlog = new BacklogWait(Pressure.ACCEPTED_USUALLY);
+    private final BacklogWait backlog = new BacklogWait(Pressure.DEFAULT_ACCEPT_BATCH);
     /** Null before it listens. */
     private Channel channel;
     /** The socket is other processes' as well, and never closed here. */
@@ -50,13 +50,13 @@
     ListeningSocket(Clock clock, Consumer<Channel> accepted) {
         this.clock = clock;
         this.accepted = accepted;
-        batches.maxMessagesPerRead(Pressure.ACCEPTED_USUALLY);
+        batches.maxMessagesPerRead(Pressure.DEFAULT_ACCEPT_BATCH);
     }
 
     /** How many connections are accepted in a row from now on. */
     void batch(int most) {
         batches.maxMessagesPerRead(most);
-        backlog.batch(most);
+        backlog.setBatchLimit(most);
     }
 
     /** Listens on a socket of its own. */
@@ -83,7 +83,7 @@
     }
 
     private void failed(Throwable cause) {
-        backlog.failed();
+        backlog.onAcceptFailed();
         failures.warn(clock.now(), cause.getMessage());
     }
 
@@ -111,13 +111,13 @@
     private final class BatchCounter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object child) {
-            backlog.accepts();
+            backlog.onAccepted();
             ctx.fireChannelRead(child);
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            backlog.rests(clock.now());
+            backlog.onBatchEnd(clock.now());
             ctx.fireChannelReadComplete();
         }
     }
@@ -182,12 +182,12 @@
     /** It has been accepting all along and nobody came. */
     void nobodyWaits() {
         if (!control.isRetryDue()) {
-            backlog.idle(clock.now());
+            backlog.onIdle(clock.now());
         }
     }
 
     /** The earliest time at which a connection that is accepted now can have come. */
-    double cameAfter() {
-        return backlog.cameAfter(clock.now());
+    double earliestArrival() {
+        return backlog.earliestArrival(clock.now());
     }
 }
--- a/router/src/main/java/stagepier/console/ConsoleLink.java
+++ b/router/src/main/java/stagepier/console/ConsoleLink.java
@@ -36,7 +36,7 @@
     @Override
     protected void onInput(RingBuffer bytes) {
         int end = bytes.indexOf((byte) '\n', 0);
-        if (end >= LineForm.LONGEST || end < 0 && bytes.size() >= LineForm.LONGEST) {
+        if (end >= ConsoleProtocol.LONGEST || end < 0 && bytes.size() >= ConsoleProtocol.LONGEST) {
             refuse("line too long");
         } else if (end >= 0) {
             String line = bytes.text(0, end);
--- a/router/src/main/java/stagepier/console/ConsoleListener.java
+++ b/router/src/main/java/stagepier/console/ConsoleListener.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stagepier.link.AcceptControl;
-import stagepier.link.PatientBind;
+import stagepier.link.RetryingBind;
 import stagepier.link.Sockets;
 
 /** The door for staff: owns its listening socket and the callers' links. */
@@ -25,7 +25,7 @@
 
     private final EventLoop loop;
     private final Operations operations;
-    private final PatientBind bind;
+    private final RetryingBind bind;
     private final Set<ConsoleLink> links = new LinkedHashSet<>();
     private long calls;
     private long refused;
@@ -33,7 +33,7 @@
     public ConsoleListener(EventLoop loop, InetSocketAddress address, Operations operations) {
         this.loop = loop;
         this.operations = operations;
-        bind = new PatientBind(
+        bind = new RetryingBind(
                 loop, () -> bind(address), why -> LOG.warn("no console yet at {}: {}", address, why.getMessage()));
     }
 
@@ -80,20 +80,20 @@
     String call(String line) {
         calls++;
         try {
-            ConsoleCommand command = LineForm.parse(line);
+            ConsoleCommand command = ConsoleProtocol.parse(line);
             Operations.Result result = operations.call(command);
             if (!(command instanceof ConsoleCommand.Status)) {
                 LOG.info("console: {}: {}", command, result.text());
             }
-            return LineForm.answer(result);
-        } catch (BadCallException e) {
+            return ConsoleProtocol.answer(result);
+        } catch (InvalidCommandException e) {
             return refusal(e.getMessage());
         }
     }
 
     String refusal(String why) {
         refused++;
-        return LineForm.answer(Operations.Result.no(why));
+        return ConsoleProtocol.answer(Operations.Result.no(why));
     }
 
     public void count(ObjLongConsumer<String> to) {
--- a/router/src/main/java/stagepier/console/LineForm.java
+++ b/router/src/main/java/stagepier/console/ConsoleProtocol.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /** The console's line form: a word and its argument in, a line that begins with {@code OK} or {@code ERR} out. No sockets. */
-public final class LineForm {
+public final class ConsoleProtocol {
     /** Longest line, its end included. */
     public static final int LONGEST = 512;
 
@@ -11,18 +11,18 @@
     private static final Pattern SPACES = Pattern.compile("[ \t]+");
     private static final Pattern SERVER = Pattern.compile("[!-~]{1,128}");
 
-    private LineForm() {}
+    private ConsoleProtocol() {}
 
     /**
      * The call in a line.
      *
      * @param line without its end
-     * @throws BadCallException where it is none
+     * @throws InvalidCommandException where it is none
      */
-    public static ConsoleCommand parse(String line) throws BadCallException {
+    public static ConsoleCommand parse(String line) throws InvalidCommandException {
         String trimmed = line.strip();
         if (trimmed.isEmpty()) {
-            throw new BadCallException("empty line; " + CALLS);
+            throw new InvalidCommandException("empty line; " + CALLS);
         }
         String[] words = SPACES.split(trimmed);
         return switch (words[0]) {
@@ -31,23 +31,23 @@
             case "RESUME" -> alone(words, new ConsoleCommand.Resume());
             case "SUSPEND" -> new ConsoleCommand.Suspend(server(words));
             case "RESTORE" -> new ConsoleCommand.Restore(server(words));
-            default -> throw new BadCallException("unknown call; " + CALLS);
+            default -> throw new InvalidCommandException("unknown call; " + CALLS);
         };
     }
 
-    private static ConsoleCommand alone(String[] words, ConsoleCommand command) throws BadCallException {
+    private static ConsoleCommand alone(String[] words, ConsoleCommand command) throws InvalidCommandException {
         if (words.length > 1) {
-            throw new BadCallException(words[0] + " takes no argument");
+            throw new InvalidCommandException(words[0] + " takes no argument");
         }
         return command;
     }
 
-    private static String server(String[] words) throws BadCallException {
+    private static String server(String[] words) throws InvalidCommandException {
         if (words.length != 2) {
-            throw new BadCallException(words[0] + " takes the id of one cache server");
+            throw new InvalidCommandException(words[0] + " takes the id of one cache server");
         }
         if (!SERVER.matcher(words[1]).matches()) {
-            throw new BadCallException("that is no id of a cache server");
+            throw new InvalidCommandException("that is no id of a cache server");
         }
         return words[1];
     }
--- a/router/src/main/java/stagepier/console/BadCallException.java
+++ b/router/src/main/java/stagepier/console/InvalidCommandException.java
@@ -1,10 +1,10 @@
 package stagepier.console;
 
 /** A line that is no call; the message says why in plain words. */
-public final class BadCallException extends Exception {
+public final class InvalidCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadCallException(String message) {
+    InvalidCommandException(String message) {
         super(message);
     }
 }
--- a/router/src/main/java/stagepier/discovery/HostGroup.java
+++ b/router/src/main/java/stagepier/discovery/HostGroup.java
@@ -141,7 +141,7 @@
     }
 
     /** Before the first list: from then on voluntary changes are asked about. The first list is what a process begins with. */
-    public void holdBy(Admission admits) {
+    public void setAdmission(Admission admits) {
         admission = admits;
     }
 
@@ -206,7 +206,7 @@
 
     /** Whether there ever was such a server on the list, or staff took it out when there was. */
     public boolean knows(String name) {
-        return everListed.contains(name) || bans.isOut(name);
+        return everListed.contains(name) || bans.isBanned(name);
     }
 
     /** The zone of a server that counts, by its name; "" where it has none or is none of them. */
@@ -238,7 +238,7 @@
         if (m.state() != Api.MemberState.READY) {
             return host;
         }
-        boolean out = bans.isOut(host.name());
+        boolean out = bans.isBanned(host.name());
         // Staff restart what they take out. Guards against a list that tells that late or never.
         double started = Math.max(m.startedAt(), startTimes.notInFuture(bans.backSince(host.name())));
         return new Host(
--- a/router/src/main/java/stagepier/drain/Drain.java
+++ b/router/src/main/java/stagepier/drain/Drain.java
@@ -14,7 +14,8 @@
  *
  * A drain goes through three phases. While it LINGERs all is served as before, for new clients still come. Then links
  * LEAVE: each is closed once nothing is open on it. At LAST the links that are there take no more commands, finish
- * what they took, and close. A client that goes on sending can put off the end of its link only until {@link #closesAll}.
+ * what they took, and close. A client that goes on sending can put off the end of its link only until
+ * {@link #closesAllLinks}.
  */
 public final class Drain {
     /** What this process does. */
@@ -127,7 +128,7 @@
     }
 
     /** Tells of each change from now on; in the order in which listeners came. */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -147,7 +148,7 @@
      * Seconds after which the next link may be sent away, so that the last of so many goes well before the end of the phase.
      * Guards against all clients coming anew at the next process at once, which has just started.
      */
-    public double nextIn(double now, int links) {
+    public double nextCloseIn(double now, int links) {
         double end = since + lingers + SPREAD * (lastFrom - lingers);
         return Math.max(0, (end - now) / Math.max(1, links));
     }
@@ -167,7 +168,7 @@
     }
 
     /** When nobody may be held any more who is idle or has asked lately; infinite while no drain is on. */
-    public double goneBy() {
+    public double idleCloseDeadline() {
         return Math.min(goneByPause(), goneByEnd());
     }
 
@@ -180,16 +181,16 @@
     }
 
     /** Whether a request that comes now is turned away, on whatever link: its answer could come after the drain's last moment. */
-    public boolean turnsAway(double now) {
+    public boolean rejectsRequests(double now) {
         return isEndingNow(now) || now >= goneByPause() - ASKED_LATELY;
     }
 
     /** Whether links are ended whatever their clients still send, as soon as nothing is owed on them. */
-    public boolean closesAll(double now) {
+    public boolean closesAllLinks(double now) {
         return switch (phase(now)) {
             case NONE, LINGER -> false;
             case LEAVE -> now >= goneByPause() - CLOSES_BEFORE;
-            case LAST -> now >= goneBy() - CLOSES_BEFORE;
+            case LAST -> now >= idleCloseDeadline() - CLOSES_BEFORE;
         };
     }
 
@@ -199,7 +200,7 @@
     }
 
     /** What a client is told that asks whether this router is alive: one that only ends serves on for those that come. */
-    public boolean saysYes() {
+    public boolean reportsAlive() {
         return isReady() || state == State.ENDING && Double.isNaN(pausedAt);
     }
 
--- a/router/src/main/java/stagepier/exchange/EventQueue.java
+++ b/router/src/main/java/stagepier/exchange/EventQueue.java
@@ -92,7 +92,7 @@
      * there before: what discovery told meanwhile is read first.
      */
     private boolean listMayBeOld() {
-        if (!listMayBeOld && delay.stoodStill(clock.now())) {
+        if (!listMayBeOld && delay.hasStalled(clock.now())) {
             listMayBeOld = true;
             standstills++;
             refresh.accept(this::listIsFresh);
--- a/router/src/main/java/stagepier/exchange/Exchange.java
+++ b/router/src/main/java/stagepier/exchange/Exchange.java
@@ -80,7 +80,7 @@
      * that have gone, also where the end of their connection lies here unread.
      */
     public boolean isWanted() {
-        return !finished && listener.isThere();
+        return !finished && listener.isConnected();
     }
 
     void backstop(Future<?> timer) {
--- a/router/src/main/java/stagepier/exchange/ModuleHost.java
+++ b/router/src/main/java/stagepier/exchange/ModuleHost.java
@@ -118,7 +118,7 @@
 
     // ---- from the client side -----------------------------------------------------------------------------
     /** Why a command cannot become an exchange, or null where it can. */
-    public String objection(Command command) {
+    public String rejection(Command command) {
         if (!names.classes().contains(String.valueOf(command.attribute("c")))) {
             return "unknown class";
         }
@@ -318,13 +318,13 @@
 
     // ---- from what is tried beside the real requests ------------------------------------------------------
     /** Another ring has part of the keys from now on; null for none. */
-    public void promoted(Api.Promoted map) {
+    public void promoted(Api.PromotedRing map) {
         events.post(() -> module.onPromoted(clock.now(), map));
     }
 
     /** Whether the module spares a server what is not needed. Not asked inside an event: it is spared then. */
-    public boolean spares(double now, long server) {
-        return events.isRunning() || module.spares(now, server);
+    public boolean avoidsOptionalLoad(double now, long server) {
+        return events.isRunning() || module.avoidsOptionalLoad(now, server);
     }
 
     // ---- the module's actions -----------------------------------------------------------------------------
@@ -344,11 +344,11 @@
         double now = clock.now();
         double left = x.deadlineAt() - now;
         double latestStart = now + startWithin - wayToServer(x);
-        String objection = objection(x, attempt, left, latestStart, now);
+        String rejection = rejection(x, attempt, left, latestStart, now);
         x.outstanding(1);
         x.attempts().began(now);
-        if (objection != null) {
-            log.notSent(x, attempt, server, objection);
+        if (rejection != null) {
+            log.notSent(x, attempt, server, rejection);
             x.sendings().add(() -> {});
             ended(x, attempt, server, Api.Outcome.NOT_SENT, now, ResponseInfo.NONE, null);
         } else if (timeout < 0) {
@@ -366,7 +366,7 @@
     }
 
     /** Why an attempt may not begin; null where it may. */
-    private String objection(Exchange x, int attempt, double left, double latestStart, double now) {
+    private String rejection(Exchange x, int attempt, double left, double latestStart, double now) {
         if (x.isFinished()) {
             return "finished";
         }
@@ -444,7 +444,7 @@
     }
 
     @Override
-    public void tellPeers(List<Api.News> news) {
+    public void reportToPeers(List<Api.ServerReport> news) {
         if (peers == null) {
             return;
         }
@@ -463,12 +463,12 @@
     }
 
     @Override
-    public Api.Elsewhere elsewhere(long server) {
-        return peers == null ? Api.Elsewhere.nothing(server) : peers.of(server);
+    public Api.PeerTotals peerTotals(long server) {
+        return peers == null ? Api.PeerTotals.none(server) : peers.of(server);
     }
 
     @Override
-    public double elsewhereWeight() {
+    public double peerWeight() {
         return peers == null ? 1 : peers.weight();
     }
 
@@ -485,7 +485,7 @@
     public void watchMembers() {}
 
     @Override
-    public void note(String text) {
+    public void logMessage(String text) {
         LOG.info("{}", text);
     }
 
--- a/router/src/main/java/stagepier/exchange/ReplyListener.java
+++ b/router/src/main/java/stagepier/exchange/ReplyListener.java
@@ -9,7 +9,7 @@
      * Whether the client is there by all that has come by this moment. Where it is not, {@link ModuleHost#clientGone} has been
      * called when this returns.
      */
-    default boolean isThere() {
+    default boolean isConnected() {
         return true;
     }
 }
--- a/router/src/main/java/stagepier/exchange/ValueFlow.java
+++ b/router/src/main/java/stagepier/exchange/ValueFlow.java
@@ -51,12 +51,12 @@
     }
 
     /** All of it has come and was good to its end. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return state == State.WHOLE;
     }
 
     /** It will never be whole. */
-    public boolean isBroken() {
+    public boolean isFailed() {
         return state == State.BROKEN;
     }
 
@@ -75,19 +75,19 @@
     }
 
     /** More has come. */
-    public void more() {
+    public void onData() {
         if (state == State.OPEN) {
             changed.run();
         }
     }
 
     /** It was good to its end, and all of it was moved. */
-    public void whole() {
+    public void onComplete() {
         end(State.WHOLE);
     }
 
     /** The cache server has not given all of it, and will not. */
-    public void broken() {
+    public void onFailure() {
         end(State.BROKEN);
     }
 
--- a/router/src/main/java/stagepier/fleet/FleetConfigReader.java
+++ b/router/src/main/java/stagepier/fleet/FleetConfigReader.java
@@ -49,18 +49,19 @@
 
     /**
      * @param self this router's name
-     * @throws BadFleetException the first slip, in one line
+     * @throws InvalidFleetFileException the first slip, in one line
      */
-    public static FleetConfig read(Path file, String self) throws BadFleetException {
+    public static FleetConfig read(Path file, String self) throws InvalidFleetFileException {
         return new FleetConfigReader(file).read(self);
     }
 
-    private FleetConfig read(String self) throws BadFleetException {
+    private FleetConfig read(String self) throws InvalidFleetFileException {
         String text = text();
         toml = Toml.parse(text);
         if (toml.hasErrors()) {
             TomlParseError first = toml.errors().get(0);
-            throw new BadFleetException(file, first.position().line(), "-", "is no TOML: " + first.getMessage());
+            throw new InvalidFleetFileException(
+                    file, first.position().line(), "-", "is no TOML: " + first.getMessage());
         }
         known(toml, "", KEYS);
         Duration lease = millis("lease_ms", 3_000, 1_000, 60_000);
@@ -84,20 +85,20 @@
                 candidate);
     }
 
-    private String text() throws BadFleetException {
+    private String text() throws InvalidFleetFileException {
         try {
             if (Files.size(file) > LARGEST_FILE) {
-                throw new BadFleetException(file, 1, "-", "is larger than " + LARGEST_FILE + " bytes");
+                throw new InvalidFleetFileException(file, 1, "-", "is larger than " + LARGEST_FILE + " bytes");
             }
             return Files.readString(file);
         } catch (CharacterCodingException e) {
-            throw new BadFleetException(file, 1, "-", "is not in UTF-8");
+            throw new InvalidFleetFileException(file, 1, "-", "is not in UTF-8");
         } catch (IOException e) {
-            throw new BadFleetException(file, 1, "-", "cannot be read");
+            throw new InvalidFleetFileException(file, 1, "-", "cannot be read");
         }
     }
 
-    private SortedMap<String, InetSocketAddress> members() throws BadFleetException {
+    private SortedMap<String, InetSocketAddress> members() throws InvalidFleetFileException {
         Object value = toml.get(List.of("member"));
         if (value == null) {
             throw bad(toml, "", "member", "is missing: no router is named");
@@ -137,7 +138,7 @@
     }
 
     /** Figures only: a look-up would block, and may give two routers two answers. */
-    private InetSocketAddress address(TomlTable table, String at, String key) throws BadFleetException {
+    private InetSocketAddress address(TomlTable table, String at, String key) throws InvalidFleetFileException {
         String value = string(table, at, key);
         Matcher figures = FIGURES.matcher(value);
         if (!figures.matches()) {
@@ -166,7 +167,7 @@
         }
     }
 
-    private Duration millis(String key, long absent, long least, long most) throws BadFleetException {
+    private Duration millis(String key, long absent, long least, long most) throws InvalidFleetFileException {
         Object value = toml.get(List.of(key));
         if (value == null) {
             return Duration.ofMillis(absent);
@@ -181,7 +182,7 @@
     }
 
     /** Beside the file itself where it is not absolute; null where the key is absent. */
-    private Path path(String key) throws BadFleetException {
+    private Path path(String key) throws InvalidFleetFileException {
         if (!toml.contains(List.of(key))) {
             return null;
         }
@@ -196,7 +197,7 @@
         }
     }
 
-    private String string(TomlTable table, String at, String key) throws BadFleetException {
+    private String string(TomlTable table, String at, String key) throws InvalidFleetFileException {
         Object value = table.get(List.of(key));
         if (!(value instanceof String text)) {
             throw bad(table, at, key, value == null ? "is missing" : "must be a text");
@@ -204,7 +205,7 @@
         return text;
     }
 
-    private void known(TomlTable table, String at, List<String> keys) throws BadFleetException {
+    private void known(TomlTable table, String at, List<String> keys) throws InvalidFleetFileException {
         for (String key : table.keySet()) {
             if (!keys.contains(key)) {
                 throw bad(table, at, key, "is unknown; known here: " + String.join(", ", keys));
@@ -213,7 +214,7 @@
     }
 
     /** Where the key is absent, the line is that of the table's first key, or the first of the file. */
-    private BadFleetException bad(TomlTable table, String at, String key, String wrong) {
+    private InvalidFleetFileException bad(TomlTable table, String at, String key, String wrong) {
         Stream<String> keys = table.contains(List.of(key))
                 ? Stream.of(key)
                 : table == toml ? Stream.empty() : table.keySet().stream();
@@ -221,7 +222,7 @@
                 .mapToInt(TomlPosition::line)
                 .min()
                 .orElse(1);
-        return new BadFleetException(file, line, at + Toml.joinKeyPath(List.of(key)), wrong);
+        return new InvalidFleetFileException(file, line, at + Toml.joinKeyPath(List.of(key)), wrong);
     }
 
     /** Of what has to be the same at all routers. */
--- a/router/src/main/java/stagepier/fleet/Calls.java
+++ b/router/src/main/java/stagepier/fleet/FleetRpc.java
@@ -7,22 +7,22 @@
  * answers on the task of that link. Calls to one member go out in their order; a call that is out keeps no other one from
  * being made.
  */
-public interface Calls {
+public interface FleetRpc {
     /** Longest message in bytes, as written. */
-    int LONGEST = 64 * 1024;
+    int MAX_MESSAGE_BYTES = 64 * 1024;
 
     /** No reply came in time, or the link broke, or could not be opened; the call may have been heard. */
-    final class SilentException extends Exception {
+    final class NoReplyException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public SilentException(String message) {
+        public NoReplyException(String message) {
             super(message);
         }
     }
 
     /** Answers the calls for one part. */
     @FunctionalInterface
-    interface Answerer {
+    interface Handler {
         /**
          * Must not wait for another member: two that wait for each other stand still.
          *
@@ -34,7 +34,7 @@
     }
 
     /** Before {@link #start()}, once a part. */
-    void answer(String part, Answerer answerer);
+    void answer(String part, Handler answerer);
 
     /** From here on others are heard. */
     void start();
@@ -42,8 +42,8 @@
     /**
      * Calls a member and waits for its reply.
      *
-     * @throws SilentException      no reply in time
+     * @throws NoReplyException      no reply in time
      * @throws InterruptedException the tasks are being stopped
      */
-    Message call(String member, Message message, Duration most) throws SilentException, InterruptedException;
+    Message call(String member, Message message, Duration most) throws NoReplyException, InterruptedException;
 }
--- a/router/src/main/java/stagepier/fleet/Lines.java
+++ b/router/src/main/java/stagepier/fleet/FrameCodec.java
@@ -16,11 +16,11 @@
  * What goes over a link: JSON records, one a line, in UTF-8. Reading holds no more than the longest line; whoever says more is not
  * listened to further.
  */
-final class Lines {
+final class FrameCodec {
     private static final Gson GSON =
             new GsonBuilder().setStrictness(Strictness.STRICT).create();
     /** Beyond the message itself: its number on the link. */
-    private static final int LONGEST_LINE = Calls.LONGEST + 64;
+    private static final int LONGEST_LINE = FleetRpc.MAX_MESSAGE_BYTES + 64;
 
     private static final int USUAL = 4 * 1024;
 
@@ -35,7 +35,7 @@
     private int from;
     private int to;
 
-    Lines(InputStream in) {
+    FrameCodec(InputStream in) {
         this.in = in;
     }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /** @throws IllegalArgumentException longer than {@link Calls#LONGEST}: a fault of the part that made it */
+    /** @throws IllegalArgumentException longer than {@link FleetRpc#MAX_MESSAGE_BYTES}: a fault of the part that made it */
     static byte[] written(Object record) {
         byte[] text = GSON.toJson(record).getBytes(StandardCharsets.UTF_8);
         if (text.length > LONGEST_LINE) {
--- a/router/src/main/java/stagepier/fleet/LocalHealth.java
+++ b/router/src/main/java/stagepier/fleet/LocalHealth.java
@@ -43,7 +43,7 @@
     }
 
     /** By what it is longer until silence counts: 1 to 2. Only its own lateness tells: a cut link makes others suspect it as well. */
-    double patience() {
+    double timeoutFactor() {
         return 1 + (double) lateScore / WORST;
     }
 
--- a/router/src/main/java/stagepier/fleet/MemberTable.java
+++ b/router/src/main/java/stagepier/fleet/MemberTable.java
@@ -9,7 +9,7 @@
 import stagepier.fleet.FleetView.Facts;
 import stagepier.fleet.FleetView.Member;
 import stagepier.fleet.FleetView.State;
-import stagepier.fleet.MembershipMessages.News;
+import stagepier.fleet.MembershipMessages.MemberUpdate;
 
 /**
  * The rules of the view. Of two that speak of one member the higher incarnation holds, and in one incarnation the later of alive,
@@ -40,8 +40,8 @@
 
     private final FleetConfig config;
     private final Peers peers;
-    private final CallTurns turns;
-    private final MemberNews told;
+    private final ProbeOrder turns;
+    private final MemberUpdates told;
     private final LocalHealth health = new LocalHealth();
     private long contradictedAt;
     private int lastCalls = ~0;
@@ -55,17 +55,17 @@
     MemberTable(FleetConfig config, long incarnation, long now, Random random) {
         this.config = config;
         peers = new Peers(config, incarnation, now, random);
-        turns = new CallTurns(peers, random);
-        told = new MemberNews(peers, random);
+        turns = new ProbeOrder(peers, random);
+        told = new MemberUpdates(peers, random);
         contradictedAt = Peers.longBefore(now);
         lastAnswerAt = now;
     }
 
-    CallTurns turns() {
+    ProbeOrder turns() {
         return turns;
     }
 
-    MemberNews news() {
+    MemberUpdates news() {
         return told;
     }
 
@@ -152,7 +152,7 @@
                 : TimeUnit.NANOSECONDS.toMillis(now - p.heardAt) + 1;
     }
 
-    void apply(String from, Collection<News> news, long now) {
+    void apply(String from, Collection<MemberUpdate> news, long now) {
         if (news != null) {
             news.forEach(n -> apply(from, n, now));
         }
@@ -160,10 +160,10 @@
 
     /** What a member, or one that answers, says of its own incarnation. */
     void applyAlive(String name, long incarnation, long now) {
-        apply(name, new News(name, incarnation, State.ALIVE.ordinal(), null, 0, null), now);
+        apply(name, new MemberUpdate(name, incarnation, State.ALIVE.ordinal(), null, 0, null), now);
     }
 
-    void apply(String from, News news, long now) {
+    void apply(String from, MemberUpdate news, long now) {
         if (news == null
                 || news.member() == null
                 || news.incarnation() <= 0
@@ -214,14 +214,14 @@
         }
     }
 
-    private void refuse(Peer p, News claim, long now) {
+    private void refuse(Peer p, MemberUpdate claim, long now) {
         if (claim.incarnation() > p.incarnation) {
             take(p, claim.incarnation(), State.ALIVE, p.countsFrom);
         }
         if (p.claim == null
                 || claim.incarnation() > p.claim.incarnation()
                 || claim.incarnation() == p.claim.incarnation() && claim.state() > p.claim.state()) {
-            p.claim = new News(claim.member(), claim.incarnation(), claim.state(), List.of(), 0, null);
+            p.claim = new MemberUpdate(claim.member(), claim.incarnation(), claim.state(), List.of(), 0, null);
             p.tellClaim = peers.tellTimes;
             turns.hint(p, now);
         }
@@ -256,7 +256,7 @@
     }
 
     /** Others hold this router to be out, or know an incarnation that is none of this process: above it, so that this one holds. */
-    private void hearOfSelf(News news, long now) {
+    private void hearOfSelf(MemberUpdate news, long now) {
         if (news.factsVersion() > peers.self.factsVersion) {
             peers.self.factsVersion = news.factsVersion() + 1;
             peers.self.tellFacts = peers.tellTimes;
@@ -290,7 +290,7 @@
                 p.failedAt = Math.min(p.failedAt, p.answeredAt);
             }
         }
-        double factor = health.patience();
+        double factor = health.timeoutFactor();
         boolean cutOff = (lastCalls & (1 << LAST_CALLS) - 1) == 0 && now - lastAnswerAt > peers.doubt;
         int near = 1;
         for (Peer p : peers.others) {
--- a/router/src/main/java/stagepier/fleet/MemberNews.java
+++ b/router/src/main/java/stagepier/fleet/MemberUpdates.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import stagepier.fleet.FleetView.State;
-import stagepier.fleet.MembershipMessages.News;
+import stagepier.fleet.MembershipMessages.MemberUpdate;
 
 /** What this router tells the others of what it holds. Guarded by its {@link MemberTable}. */
-final class MemberNews {
+final class MemberUpdates {
     private static final int MOST_NEWS = 48;
     private static final int MOST_HEARD = 128;
     private static final int MOST_LOST = 32;
@@ -19,7 +19,7 @@
     private final Peers peers;
     private final Random random;
 
-    MemberNews(Peers peers, Random random) {
+    MemberUpdates(Peers peers, Random random) {
         this.peers = peers;
         this.random = random;
     }
@@ -53,12 +53,12 @@
     }
 
     /** What is held of a member, with what others hold against it. */
-    private News about(Peer p) {
+    private MemberUpdate about(Peer p) {
         return p.claim != null ? p.claim : news(p, false);
     }
 
     /** What is held of a caller, where that is not what it says. */
-    private News aboutCaller(String name, long incarnation) {
+    private MemberUpdate aboutCaller(String name, long incarnation) {
         Peer p = peers.other(name);
         if (p == null || p.claim == null && p.incarnation == incarnation && p.state == State.ALIVE) {
             return null;
@@ -66,16 +66,17 @@
         return about(p);
     }
 
-    private News news(Peer p, boolean facts) {
+    private MemberUpdate news(Peer p, boolean facts) {
         if (p.saidAlive > p.incarnation) {
-            return new News(p.name, p.saidAlive, State.ALIVE.ordinal(), null, p.factsVersion, facts ? p.facts : null);
+            return new MemberUpdate(
+                    p.name, p.saidAlive, State.ALIVE.ordinal(), null, p.factsVersion, facts ? p.facts : null);
         }
         return held(p, facts);
     }
 
     /** For an exchange, in which two come to hold the same. */
-    private News held(Peer p, boolean facts) {
-        return new News(
+    private MemberUpdate held(Peer p, boolean facts) {
+        return new MemberUpdate(
                 p.name,
                 p.incarnation,
                 p.state.ordinal(),
@@ -85,7 +86,7 @@
     }
 
     /** What changed lately, least told first; null for nothing. */
-    List<News> news() {
+    List<MemberUpdate> news() {
         List<Peer> fresh = new ArrayList<>();
         for (Peer p : peers.others) {
             if (p.tell > 0 || p.tellFacts > 0 || p.claim != null && p.tellClaim > 0) {
@@ -100,7 +101,7 @@
         if (fresh.isEmpty()) {
             return null;
         }
-        List<News> news = new ArrayList<>();
+        List<MemberUpdate> news = new ArrayList<>();
         for (Peer p : fresh.subList(0, Math.min(MOST_NEWS, fresh.size()))) {
             if (p.tell > 0 || p.tellFacts > 0) {
                 news.add(news(p, p.tellFacts > 0));
@@ -148,8 +149,8 @@
     }
 
     /** A part of all that is held, without facts: so many from there on. */
-    List<News> part(int from, int most) {
-        List<News> part = new ArrayList<>();
+    List<MemberUpdate> part(int from, int most) {
+        List<MemberUpdate> part = new ArrayList<>();
         part.add(held(peers.self, false));
         for (int i = 0; i < Math.min(most, peers.others.size()); i++) {
             Peer p = peers.others.get((from + i) % peers.others.size());
@@ -159,9 +160,9 @@
     }
 
     /** Of the same members, what is held newer. */
-    List<News> newer(List<News> part) {
-        List<News> newer = new ArrayList<>();
-        for (News n : part) {
+    List<MemberUpdate> newer(List<MemberUpdate> part) {
+        List<MemberUpdate> newer = new ArrayList<>();
+        for (MemberUpdate n : part) {
             Peer p = n == null || n.member() == null ? null : peers.member(n.member());
             if (p != null
                     && p.incarnation > 0
--- a/router/src/main/java/stagepier/fleet/Membership.java
+++ b/router/src/main/java/stagepier/fleet/Membership.java
@@ -22,7 +22,7 @@
  * Keeps the view of the fleet: calls the others in turn, asks about those that are silent, tells on what it hears. How often it does
  * so does not depend on the size of the fleet. The rules are in {@link MemberTable}; see {@code docs/fleet.md}.
  */
-public final class Membership implements FleetPart {
+public final class Membership implements FleetService {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
     private static final int PROBERS = 4;
     private static final Duration PROBE_EVERY = Duration.ofMillis(300);
@@ -39,7 +39,7 @@
     private static final int STEPS = 1_000;
 
     private final Tasks tasks;
-    private final Calls calls;
+    private final FleetRpc calls;
     private final FleetConfig config;
     private final History history;
     private final Random random;
@@ -49,7 +49,7 @@
     private volatile FleetView view;
     private volatile Facts ownFacts = Facts.NONE;
 
-    public Membership(Tasks tasks, Calls calls, FleetConfig config, History history, long seed) {
+    public Membership(Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
         this.tasks = tasks;
         this.calls = calls;
         this.config = config;
@@ -136,7 +136,7 @@
             Message reply = calls.call(p.name, Message.of(MembershipMessages.PING, words), Duration.ofNanos((long)
                     (PROBE_MOST.toNanos() * factor)));
             receive(p, read(reply, Pong.class), sentAt);
-        } catch (Calls.SilentException e) {
+        } catch (FleetRpc.NoReplyException e) {
             List<String> relays;
             synchronized (table) {
                 table.silent(p.name, sentAt, stalls);
@@ -183,7 +183,7 @@
                 }
                 return !about.failsHere();
             }
-        } catch (Calls.SilentException e) {
+        } catch (FleetRpc.NoReplyException e) {
             return false;
         }
     }
@@ -240,7 +240,7 @@
                 table.apply(other, newer.news(), tasks.nanoTime());
             }
             return newer.news().size();
-        } catch (Calls.SilentException e) {
+        } catch (FleetRpc.NoReplyException e) {
             synchronized (table) {
                 table.silent(other, sentAt, stalls);
             }
--- a/router/src/main/java/stagepier/fleet/MembershipMessages.java
+++ b/router/src/main/java/stagepier/fleet/MembershipMessages.java
@@ -28,7 +28,7 @@
      * @param factsVersion version of its facts
      * @param facts        its facts, or null where only their version is sent
      */
-    record News(
+    record MemberUpdate(
             @SerializedName("n") String member,
             @SerializedName("i") long incarnation,
             @SerializedName("s") int state,
@@ -48,9 +48,9 @@
     record Ping(
             @SerializedName("i") long incarnation,
             @SerializedName("held") long heldIncarnation,
-            News about,
+            MemberUpdate about,
             @SerializedName("lost") List<String> unreachable,
-            List<News> news) {}
+            List<MemberUpdate> news) {}
 
     /**
      * The response to a probe.
@@ -63,10 +63,10 @@
      */
     record Pong(
             @SerializedName("i") long incarnation,
-            News about,
+            MemberUpdate about,
             @SerializedName("heard") Map<String, Integer> ages,
             @SerializedName("reach") List<String> reachable,
-            List<News> news) {}
+            List<MemberUpdate> news) {}
 
     /** An indirect probe: asks when a member that does not answer the caller last answered, and to call that member. */
     record AgeRequest(@SerializedName("n") String member) {}
@@ -75,5 +75,5 @@
     record AgeResponse(long age) {}
 
     /** A part of what one router holds, without facts; the response is what the other holds newer, with facts. */
-    record Sync(List<News> news) {}
+    record Sync(List<MemberUpdate> news) {}
 }
--- a/router/src/main/java/stagepier/fleet/Peer.java
+++ b/router/src/main/java/stagepier/fleet/Peer.java
@@ -38,7 +38,7 @@
 
     int tellFacts;
     /** That it is suspect or gone, said by others against what was heard here; told on, so that it can contradict. */
-    MembershipMessages.News claim;
+    MembershipMessages.MemberUpdate claim;
 
     int tellClaim;
 
--- a/router/src/main/java/stagepier/fleet/PeerLink.java
+++ b/router/src/main/java/stagepier/fleet/PeerLink.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.ConcurrentHashMap;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 import stagepier.tasks.Tasks;
 
 /**
@@ -22,11 +22,11 @@
     private static final int FIRST_WAIT_MS = 25;
     private static final int MOST_WAIT_MS = 1_000;
     /** Bytes of calls without a reply; the socket's buffer takes them all, so that no write waits for a member that stands still. */
-    private static final int ROOM = 4 * Calls.LONGEST;
+    private static final int ROOM = 4 * FleetRpc.MAX_MESSAGE_BYTES;
 
     private static final long STALE_NS = 3_000_000_000L;
     private static final Duration LOOK_AGAIN = Duration.ofMillis(10);
-    private static final Lines.Frame BROKEN = new Lines.Frame(-1, null, null);
+    private static final FrameCodec.Frame BROKEN = new FrameCodec.Frame(-1, null, null);
 
     private record Sent(long id, int bytes, long at) {}
 
@@ -39,11 +39,11 @@
     /** Nobody listens there: a call need not wait for the link. */
     private volatile boolean refused;
 
-    PeerLink(Tasks tasks, OpenSockets sockets, InetSocketAddress address, Lines.Hello hello, long seed) {
+    PeerLink(Tasks tasks, OpenSockets sockets, InetSocketAddress address, FrameCodec.Hello hello, long seed) {
         this.tasks = tasks;
         this.sockets = sockets;
         this.address = address;
-        this.hello = Lines.written(hello);
+        this.hello = FrameCodec.written(hello);
         random = new Random(seed);
     }
 
@@ -76,7 +76,7 @@
             out.write(hello);
             now = new Open(socket, out);
             open = now;
-            return now.readReplies(new Lines(socket.getInputStream()));
+            return now.readReplies(new FrameCodec(socket.getInputStream()));
         } catch (ConnectException e) {
             refused = true;
             return false;
@@ -91,23 +91,23 @@
         }
     }
 
-    Message call(String member, Message message, Duration most) throws Calls.SilentException, InterruptedException {
+    Message call(String member, Message message, Duration most) throws FleetRpc.NoReplyException, InterruptedException {
         long until = tasks.nanoTime() + most.toNanos();
         Open now = open;
         while (now == null) {
             long left = until - tasks.nanoTime();
             if (refused || left <= 0) {
-                throw new Calls.SilentException(member + " cannot be reached");
+                throw new FleetRpc.NoReplyException(member + " cannot be reached");
             }
             tasks.sleep(LOOK_AGAIN.toNanos() < left ? LOOK_AGAIN : Duration.ofNanos(left));
             now = open;
         }
-        Box<Lines.Frame> reply = tasks.box(1);
+        Mailbox<FrameCodec.Frame> reply = tasks.mailbox(1);
         long id = now.send(member, message, reply);
         try {
-            Lines.Frame said = reply.take(Duration.ofNanos(Math.max(0, until - tasks.nanoTime())));
+            FrameCodec.Frame said = reply.take(Duration.ofNanos(Math.max(0, until - tasks.nanoTime())));
             if (said == null || said.kind() == null) {
-                throw new Calls.SilentException(
+                throw new FleetRpc.NoReplyException(
                         member + (said == null ? " said nothing to " : " has no answer to ") + message.kind());
             }
             return new Message(said.kind(), said.body());
@@ -120,7 +120,7 @@
     private final class Open {
         private final Socket socket;
         private final OutputStream out;
-        private final Map<Long, Box<Lines.Frame>> pending = new ConcurrentHashMap<>();
+        private final Map<Long, Mailbox<FrameCodec.Frame>> pending = new ConcurrentHashMap<>();
         /** In the order of their numbers, which is that of their replies. Guarded by itself. */
         private final ArrayDeque<Sent> unanswered = new ArrayDeque<>();
 
@@ -133,17 +133,17 @@
             this.out = out;
         }
 
-        long send(String member, Message message, Box<Lines.Frame> reply) throws Calls.SilentException {
+        long send(String member, Message message, Mailbox<FrameCodec.Frame> reply) throws FleetRpc.NoReplyException {
             synchronized (unanswered) {
                 long id = ++lastId;
-                byte[] line = Lines.written(new Lines.Frame(id, message.kind(), message.body()));
+                byte[] line = FrameCodec.written(new FrameCodec.Frame(id, message.kind(), message.body()));
                 Sent oldest = unanswered.peek();
                 if (oldest != null && tasks.nanoTime() - oldest.at() > STALE_NS) {
                     sockets.close(socket);
-                    throw new Calls.SilentException(member + " has been silent for long: its link is opened anew");
+                    throw new FleetRpc.NoReplyException(member + " has been silent for long: its link is opened anew");
                 }
                 if (unansweredBytes + line.length > ROOM) {
-                    throw new Calls.SilentException(member + " has not answered what was said before");
+                    throw new FleetRpc.NoReplyException(member + " has not answered what was said before");
                 }
                 pending.put(id, reply);
                 unanswered.add(new Sent(id, line.length, tasks.nanoTime()));
@@ -153,19 +153,19 @@
                 } catch (IOException e) {
                     pending.remove(id);
                     sockets.close(socket);
-                    throw new Calls.SilentException("the link to " + member + " broke");
+                    throw new FleetRpc.NoReplyException("the link to " + member + " broke");
                 }
                 return id;
             }
         }
 
-        boolean readReplies(Lines lines) throws IOException {
+        boolean readReplies(FrameCodec lines) throws IOException {
             try {
                 for (; ; ) {
-                    Lines.Frame frame = lines.next(Lines.Frame.class);
+                    FrameCodec.Frame frame = lines.next(FrameCodec.Frame.class);
                     heard = true;
                     answered(frame.id());
-                    Box<Lines.Frame> reply = pending.remove(frame.id());
+                    Mailbox<FrameCodec.Frame> reply = pending.remove(frame.id());
                     if (reply != null) {
                         reply.put(frame);
                     }
--- a/router/src/main/java/stagepier/fleet/CallTurns.java
+++ b/router/src/main/java/stagepier/fleet/ProbeOrder.java
@@ -10,7 +10,7 @@
 import stagepier.fleet.FleetView.State;
 
 /** Whom this router calls, and in which order. Guarded by its {@link MemberTable}. */
-final class CallTurns {
+final class ProbeOrder {
     /** The part of doubt from which others are asked about one that does not answer. */
     private static final double ASK = 0.5;
 
@@ -24,7 +24,7 @@
     private final Set<Peer> hints = new LinkedHashSet<>();
     private int turn;
 
-    CallTurns(Peers peers, Random random) {
+    ProbeOrder(Peers peers, Random random) {
         this.peers = peers;
         this.random = random;
     }
--- a/router/src/main/java/stagepier/fleet/TcpCalls.java
+++ b/router/src/main/java/stagepier/fleet/TcpFleetRpc.java
@@ -21,8 +21,8 @@
  * Calls over TCP: a link each way between two routers, on which the one that opened it calls. One task listens, one answers on each
  * link that was accepted, one keeps up the link to each member; and one waits for the stop, to close what the others wait on.
  */
-public final class TcpCalls implements Calls {
-    private static final Logger LOG = LoggerFactory.getLogger(TcpCalls.class);
+public final class TcpFleetRpc implements FleetRpc {
+    private static final Logger LOG = LoggerFactory.getLogger(TcpFleetRpc.class);
     private static final int HELLO_MS = 2_000;
     /** A link on which nobody calls any more: the view calls all the time. */
     private static final int IDLE_MS = 60_000;
@@ -38,7 +38,7 @@
     private final FleetConfig config;
     private final OpenSockets sockets = new OpenSockets();
     private final Map<String, PeerLink> links = new TreeMap<>();
-    private final Map<String, Answerer> answerers = new HashMap<>();
+    private final Map<String, Handler> answerers = new HashMap<>();
     private final AtomicInteger nameless = new AtomicInteger();
     /** Accepted links by who called up, oldest first. Each queue is guarded by itself. */
     private final Map<String, ArrayDeque<Socket>> accepted = new ConcurrentHashMap<>();
@@ -46,7 +46,7 @@
     private final Map<String, String> otherFleets = new ConcurrentHashMap<>();
 
     /** @param seed for the waits before a link is opened again */
-    public TcpCalls(Tasks tasks, FleetConfig config, long seed) {
+    public TcpFleetRpc(Tasks tasks, FleetConfig config, long seed) {
         this.tasks = tasks;
         this.config = config;
         Random random = new Random(seed);
@@ -59,14 +59,14 @@
                                 tasks,
                                 sockets,
                                 address,
-                                new Lines.Hello(config.self(), name, config.hash()),
+                                new FrameCodec.Hello(config.self(), name, config.hash()),
                                 random.nextLong()));
             }
         });
     }
 
     @Override
-    public void answer(String part, Answerer answerer) {
+    public void answer(String part, Handler answerer) {
         answerers.put(part, answerer);
     }
 
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public Message call(String member, Message message, Duration most) throws SilentException, InterruptedException {
+    public Message call(String member, Message message, Duration most) throws NoReplyException, InterruptedException {
         PeerLink link = links.get(member);
         if (link == null) {
             throw new IllegalArgumentException(member + " is no other member");
@@ -165,11 +165,11 @@
     private void serve(Socket socket) throws InterruptedException {
         String from = null;
         try {
-            Lines lines = new Lines(socket.getInputStream());
+            FrameCodec lines = new FrameCodec(socket.getInputStream());
             try {
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout(HELLO_MS);
-                from = welcome(lines.next(Lines.Hello.class));
+                from = welcome(lines.next(FrameCodec.Hello.class));
             } finally {
                 nameless.decrementAndGet();
             }
@@ -195,7 +195,7 @@
     }
 
     /** @return who it is, or null for a stranger */
-    private String welcome(Lines.Hello hello) {
+    private String welcome(FrameCodec.Hello hello) {
         if (hello.name() == null || !links.containsKey(hello.name())) {
             sockets.stranger("it is no other member");
             return null;
@@ -222,17 +222,17 @@
         }
     }
 
-    private void answerAll(String from, Lines lines, OutputStream out)
+    private void answerAll(String from, FrameCodec lines, OutputStream out)
             throws IOException, Message.MalformedException, InterruptedException {
         for (; ; ) {
-            Lines.Frame call = lines.next(Lines.Frame.class);
+            FrameCodec.Frame call = lines.next(FrameCodec.Frame.class);
             if (call.kind() == null) {
                 throw new Message.MalformedException("a call of no kind");
             }
             Message message = new Message(call.kind(), call.body());
-            Answerer answerer = answerers.get(message.part());
+            Handler answerer = answerers.get(message.part());
             Message reply = answerer == null ? new Message(null, null) : answerer.answer(from, message);
-            Lines.write(out, new Lines.Frame(call.id(), reply.kind(), reply.body()));
+            FrameCodec.write(out, new FrameCodec.Frame(call.id(), reply.kind(), reply.body()));
         }
     }
 
--- a/router/src/main/java/stagepier/freeze/AgreedTexts.java
+++ b/router/src/main/java/stagepier/freeze/AgreedSequence.java
@@ -1,8 +1,8 @@
 package stagepier.freeze;
 
 import java.time.Duration;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.History;
 import stagepier.fleet.Message;
 import stagepier.tasks.Tasks;
@@ -12,7 +12,7 @@
  * events of the register are renamed on their way. Where a majority forgets at once, what was agreed is forgotten, too, or unknown
  * until it is proposed again; what this process learnt it keeps.
  */
-public final class AgreedTexts {
+public final class AgreedSequence {
     /** What the fleet begins with: nothing agreed. */
     private static final String NOTHING = "";
 
@@ -33,7 +33,7 @@
      * @param topic name of the sequence, and the part of the calls that it is
      * @param seed  as that of the calendar, another one
      */
-    public AgreedTexts(String topic, Tasks tasks, Calls calls, FleetConfig config, History history, long seed) {
+    public AgreedSequence(String topic, Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
         this.tasks = tasks;
         History renamed = (event, values) -> history.write(rename(event, RegisterRequest.PART, topic), values);
         Acceptor acceptor = new Acceptor(
@@ -92,9 +92,9 @@
     }
 
     /** The calendar's calls under another name. */
-    private record Renamed(Calls calls, String topic) implements Calls {
+    private record Renamed(FleetRpc calls, String topic) implements FleetRpc {
         @Override
-        public void answer(String part, Answerer answerer) {
+        public void answer(String part, Handler answerer) {
             calls.answer(topic, (from, call) -> out(answerer.answer(from, in(call))));
         }
 
@@ -105,7 +105,7 @@
 
         @Override
         public Message call(String member, Message message, Duration most)
-                throws SilentException, InterruptedException {
+                throws NoReplyException, InterruptedException {
             return in(calls.call(member, out(message), most));
         }
 
--- a/router/src/main/java/stagepier/freeze/Fanout.java
+++ b/router/src/main/java/stagepier/freeze/Fanout.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import stagepier.fleet.Calls;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.Message;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 import stagepier.tasks.Tasks;
 
 /**
@@ -29,11 +29,11 @@
     private static final class Round {
         private final Tally tally;
         private final Predicate<Tally> enough;
-        private final Box<Boolean> ended;
+        private final Mailbox<Boolean> ended;
         private int open;
         private boolean over;
 
-        Round(Tally tally, Predicate<Tally> enough, int open, Box<Boolean> ended) {
+        Round(Tally tally, Predicate<Tally> enough, int open, Mailbox<Boolean> ended) {
             this.tally = tally;
             this.enough = enough;
             this.open = open;
@@ -61,17 +61,17 @@
     }
 
     private final Tasks tasks;
-    private final Calls calls;
+    private final FleetRpc calls;
     private final Collection<String> others;
     private final Map<String, Boolean> silent = new ConcurrentHashMap<>();
     /** Tasks that have nothing to do, each by what wakes it; what is to be done lies in {@code errands}. */
-    private final ConcurrentLinkedQueue<Box<Boolean>> idle = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Mailbox<Boolean>> idle = new ConcurrentLinkedQueue<>();
 
     private final ConcurrentLinkedQueue<Errand> errands = new ConcurrentLinkedQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
     private final int most;
 
-    Fanout(Tasks tasks, Calls calls, Collection<String> others) {
+    Fanout(Tasks tasks, FleetRpc calls, Collection<String> others) {
         this.tasks = tasks;
         this.calls = calls;
         this.others = others;
@@ -80,12 +80,12 @@
 
     void start() {
         for (int i = 0; i < Math.min(WORKERS_MOST, others.size()); i++) {
-            Box<Boolean> wake = tasks.box(1);
+            Mailbox<Boolean> wake = tasks.mailbox(1);
             tasks.start("calendar-call-" + i, () -> work(wake));
         }
     }
 
-    private void work(Box<Boolean> wake) throws InterruptedException {
+    private void work(Mailbox<Boolean> wake) throws InterruptedException {
         while (true) {
             Errand errand = errands.poll();
             if (errand == null) {
@@ -110,7 +110,7 @@
         }
         waiting.incrementAndGet();
         errands.add(errand);
-        Box<Boolean> one = idle.poll();
+        Mailbox<Boolean> one = idle.poll();
         if (one != null) {
             one.put(true);
         }
@@ -127,7 +127,7 @@
                     .read(RegisterResponse.class);
             silent.remove(errand.to());
             return reply.whole() ? reply : null;
-        } catch (Calls.SilentException | Message.MalformedException e) {
+        } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
             silent.put(errand.to(), true);
             return null;
         }
@@ -153,7 +153,7 @@
             return;
         }
         long until = tasks.nanoTime() + most.toNanos();
-        Round round = new Round(tally, enough, whom.size(), tasks.box(1));
+        Round round = new Round(tally, enough, whom.size(), tasks.mailbox(1));
         for (String name : whom) {
             if (!send(new Errand(name, call.apply(name), until, round))) {
                 round.take(name, null);
@@ -169,7 +169,7 @@
     /** Sends to all others, and waits for no reply. */
     void broadcast(Function<String, Message> call, Duration within) {
         long until = tasks.nanoTime() + within.toNanos();
-        Round nobodyWaits = new Round(new Tally(), t -> false, others.size(), tasks.box(1));
+        Round nobodyWaits = new Round(new Tally(), t -> false, others.size(), tasks.mailbox(1));
         order().forEach(name -> send(new Errand(name, call.apply(name), until, nobodyWaits)));
     }
 
--- a/router/src/main/java/stagepier/freeze/FreezePart.java
+++ b/router/src/main/java/stagepier/freeze/FreezeService.java
@@ -8,16 +8,16 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
-import stagepier.fleet.FleetPart;
+import stagepier.fleet.FleetRpc;
+import stagepier.fleet.FleetService;
 import stagepier.fleet.History;
 import stagepier.settings.SettingsException;
 import stagepier.tasks.Tasks;
 
 /** The freeze calendar of one router: its own file, the agreement with the others, and what the event loop may rely on. */
-public final class FreezePart implements FleetPart {
-    private static final Logger LOG = LoggerFactory.getLogger(FreezePart.class);
+public final class FreezeService implements FleetService {
+    private static final Logger LOG = LoggerFactory.getLogger(FreezeService.class);
 
     /** A server that comes new is filled by its share of the misses in about this time. */
     private static final Duration SPACING_LEAST = Duration.ofSeconds(2);
@@ -45,7 +45,7 @@
      * @param seed   for what is drawn: waits after ballots that met another, low bits of the incarnation
      * @throws IllegalArgumentException where the file cannot be read or makes no sense: one line
      */
-    public FreezePart(Tasks tasks, Calls calls, FleetConfig config, History history, long seed) {
+    public FreezeService(Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
         this(
                 tasks,
                 calls,
@@ -60,9 +60,9 @@
                         history));
     }
 
-    FreezePart(
+    FreezeService(
             Tasks tasks,
-            Calls calls,
+            FleetRpc calls,
             FleetConfig config,
             History history,
             long seed,
@@ -88,7 +88,7 @@
                 new Register.Listener() {
                     @Override
                     public void confirmed(Entry accepted, long startNano, long startWallMs, Clocks.Offset offset) {
-                        FreezePart.this.confirmed(accepted, startNano, startWallMs, offset);
+                        FreezeService.this.confirmed(accepted, startNano, startWallMs, offset);
                     }
 
                     @Override
--- a/router/src/main/java/stagepier/freeze/Register.java
+++ b/router/src/main/java/stagepier/freeze/Register.java
@@ -17,11 +17,11 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.History;
 import stagepier.fleet.Message;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 import stagepier.tasks.Tasks;
 
 /**
@@ -84,7 +84,7 @@
     private final Duration confirmEach;
     private final Duration again;
     /** What its staff want, or {@link #LOOK}. */
-    private final Box<String> wishes;
+    private final Mailbox<String> wishes;
     /** Whether {@link #LOOK} lies in {@code wishes}: once at the most, so that it takes no place from what staff want. */
     private final AtomicBoolean looks = new AtomicBoolean();
 
@@ -101,7 +101,7 @@
     /** @param file the windows in this router's own file, canonical */
     Register(
             Tasks tasks,
-            Calls calls,
+            FleetRpc calls,
             FleetConfig config,
             History history,
             Acceptor acceptor,
@@ -121,7 +121,7 @@
         fanout = new Fanout(tasks, calls, List.copyOf(others));
         bootstrap = new FleetBootstrap(this, acceptor, config, tasks);
         file(file);
-        wishes = tasks.box(WISHES);
+        wishes = tasks.mailbox(WISHES);
         Duration byFleet = CONFIRM_EACH_OTHER.multipliedBy(config.members().size());
         Duration slowest = config.lease().dividedBy(3);
         confirmEach = max(CONFIRM_EACH, byFleet.compareTo(slowest) < 0 ? byFleet : slowest);
--- a/router/src/main/java/stagepier/freeze/Windows.java
+++ b/router/src/main/java/stagepier/freeze/Windows.java
@@ -18,7 +18,7 @@
 
 /** All windows of a calendar, in the order of their names. Immutable; its text is the same wherever the windows are the same. */
 final class Windows {
-    /** Longest text in bytes: a message that holds it twice fits into {@link stagepier.fleet.Calls#LONGEST}. */
+    /** Longest text in bytes: a message that holds it twice fits into {@link stagepier.fleet.FleetRpc#MAX_MESSAGE_BYTES}. */
     static final int LONGEST = 12 * 1024;
 
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
--- a/router/src/main/java/stagepier/link/PatientBind.java
+++ b/router/src/main/java/stagepier/link/RetryingBind.java
@@ -13,7 +13,7 @@
  * A socket that is bound as soon as that can be: its address may be held by the process that this one takes over from. Owns the
  * channel. On the event loop.
  */
-public final class PatientBind {
+public final class RetryingBind {
     private static final int AGAIN_MS = 200;
 
     private final EventLoop loop;
@@ -27,7 +27,7 @@
      * @param bind  tries to bind, once; may throw a {@link ChannelException}
      * @param waits told why it has to wait, the first time only
      */
-    public PatientBind(EventLoop loop, Supplier<ChannelFuture> bind, Consumer<Throwable> waits) {
+    public RetryingBind(EventLoop loop, Supplier<ChannelFuture> bind, Consumer<Throwable> waits) {
         this.loop = loop;
         this.bind = bind;
         this.waits = waits;
--- a/router/src/main/java/stagepier/memcache/AnswerParser.java
+++ b/router/src/main/java/stagepier/memcache/AnswerParser.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 
 /**
  * Takes whole answers off a cache server's bytes; one for each connection. A value that is larger than what a ring
@@ -19,7 +19,7 @@
     private static final int AT_FIRST = 32 * 1024;
 
     /** Memory for values that are collected, shared by all connections. */
-    private final SharedRoom room;
+    private final MemoryBudget room;
 
     private final LoadReportFormat reports;
     /** The line of a large value, while that is collected; null otherwise. */
@@ -35,16 +35,16 @@
 
     /** A parser for which there is always room. */
     public AnswerParser() {
-        this(new SharedRoom(Long.MAX_VALUE));
+        this(new MemoryBudget(Long.MAX_VALUE));
     }
 
     /** A parser that reads no load reports. */
-    public AnswerParser(SharedRoom room) {
+    public AnswerParser(MemoryBudget room) {
         this(room, new LoadReportFormat(List.of()));
     }
 
     /** @param reports reads the load reports of all connections */
-    public AnswerParser(SharedRoom room, LoadReportFormat reports) {
+    public AnswerParser(MemoryBudget room, LoadReportFormat reports) {
         this.room = room;
         this.reports = reports;
     }
@@ -62,7 +62,7 @@
     /** Gives up what it has begun to collect. */
     public void drop() {
         if (large != null && kept) {
-            room.giveBack(length);
+            room.release(length);
         }
         large = null;
         flowing = false;
--- a/router/src/main/java/stagepier/memcache/CommandParser.java
+++ b/router/src/main/java/stagepier/memcache/CommandParser.java
@@ -62,15 +62,15 @@
         if (words.isEmpty() || words.get(0).isEmpty() || words.get(0).length() > Protocol.LARGEST_KEY) {
             return bad("bad key");
         }
-        String objection = objection(kind, words);
-        return objection == null ? new Command(kind, List.copyOf(words), value) : bad(objection);
+        String rejection = rejection(kind, words);
+        return rejection == null ? new Command(kind, List.copyOf(words), value) : bad(rejection);
     }
 
     /**
      * Guards against passing on what a cache server cannot read, for which it closes the connection with all that waits
      * there, and against flags that change which answers come: a quiet command would have none.
      */
-    private static String objection(Command.Kind kind, List<String> words) {
+    private static String rejection(Command.Kind kind, List<String> words) {
         boolean id = false;
         boolean attributes = false;
         boolean value = false;
--- a/router/src/main/java/stagepier/overload/BacklogWait.java
+++ b/router/src/main/java/stagepier/overload/BacklogWait.java
@@ -16,17 +16,17 @@
     }
 
     /** Connections that are accepted in a row at the most from now on. */
-    public void batch(int most) {
+    public void setBatchLimit(int most) {
         batch = most;
     }
 
     /** One was accepted. */
-    public void accepts() {
+    public void onAccepted() {
         accepted++;
     }
 
     /** The listener ends a row: fewer than a whole one means that nobody is left waiting. */
-    public void rests(double now) {
+    public void onBatchEnd(double now) {
         emptyBefore = emptyAt;
         if (accepted < batch) {
             emptyAt = now;
@@ -35,17 +35,17 @@
     }
 
     /** The row that has just ended did so because accept failed: connections may be waiting as before. */
-    public void failed() {
+    public void onAcceptFailed() {
         emptyAt = emptyBefore;
     }
 
     /** The listener had been accepting all along and nobody came: nobody waits. */
-    public void idle(double now) {
+    public void onIdle(double now) {
         emptyAt = now;
     }
 
     /** The earliest time at which one that is accepted now can have come. */
-    public double cameAfter(double now) {
+    public double earliestArrival(double now) {
         return Double.isNaN(emptyAt) ? now : emptyAt;
     }
 }
--- a/router/src/main/java/stagepier/overload/ConnectionSlots.java
+++ b/router/src/main/java/stagepier/overload/ConnectionSlots.java
@@ -29,7 +29,7 @@
     }
 
     /** How short slots are. */
-    public enum Level {
+    public enum Availability {
         PLENTY,
         SCARCE,
         TIGHT,
@@ -82,20 +82,20 @@
         return held < bytes;
     }
 
-    public Level level(double now, int links, long held) {
+    public Availability level(double now, int links, long held) {
         if (links >= slots) {
             fullAt = now;
-            return Level.FULL;
+            return Availability.FULL;
         }
         double used = Math.max((double) links / slots, (double) held / bytes);
         if (used >= TIGHT_FROM) {
-            return Level.TIGHT;
+            return Availability.TIGHT;
         }
-        return used >= SCARCE_FROM || now - fullAt < FULL_REMEMBERED ? Level.SCARCE : Level.PLENTY;
+        return used >= SCARCE_FROM || now - fullAt < FULL_REMEMBERED ? Availability.SCARCE : Availability.PLENTY;
     }
 
     /** For how long a link may go on like that. */
-    public static double patience(Behaviour behaviour, Level level) {
+    public static double holdLimit(Behaviour behaviour, Availability level) {
         return switch (behaviour) {
             case OWED -> Double.POSITIVE_INFINITY;
             case UNREAD -> UNREAD_MOST;
@@ -110,7 +110,7 @@
     }
 
     /** Seconds after which slots are to be looked through again. */
-    public static double lookAgain(Level level) {
+    public static double checkInterval(Availability level) {
         return switch (level) {
             case PLENTY, SCARCE -> 0.2;
             case TIGHT -> 0.05;
--- a/router/src/main/java/stagepier/overload/LoopDelay.java
+++ b/router/src/main/java/stagepier/overload/LoopDelay.java
@@ -7,7 +7,7 @@
  */
 public final class LoopDelay {
     /** Seconds between heartbeats. */
-    public static final double BEAT = 0.05;
+    public static final double HEARTBEAT_INTERVAL = 0.05;
     /** A look that took longer waited for input: nothing lay unread when it began. */
     private static final double WAITED = 0.0005;
     /** A turn that took longer was a stall; after it, a look that took less than this part of it is no proof. */
@@ -32,7 +32,7 @@
     private double sawBefore = Double.NaN;
     private double nextBeat = Double.NaN;
     private double seenAt = Double.NaN;
-    private boolean stoodStill;
+    private boolean hasStalled;
     private double mean;
     private double worst;
     private long turns;
@@ -48,7 +48,7 @@
     }
 
     /** The loop begins to look for input. */
-    public void looks(double now) {
+    public void onPoll(double now) {
         turns++;
         seen(now);
         // A turn in which nothing was read tells no more than that it looked.
@@ -58,30 +58,30 @@
     }
 
     /** Input is being read; only the first call after a look counts. */
-    public void reads(double now) {
+    public void onRead(double now) {
         if (Double.isNaN(sawAt)) {
             sawAt = now;
         }
     }
 
     /** The heartbeat. */
-    public void beats(double now) {
+    public void onHeartbeat(double now) {
         seen(now);
         double late = Double.isNaN(nextBeat) ? 0 : Math.max(0, now - nextBeat);
         mean += GAIN * (late - mean);
         worst = Math.max(worst, late);
-        nextBeat = now + BEAT;
+        nextBeat = now + HEARTBEAT_INTERVAL;
     }
 
     private void seen(double now) {
-        stoodStill |= now - seenAt > stoodStillAfter;
+        hasStalled |= now - seenAt > stoodStillAfter;
         seenAt = now;
     }
 
     /** Whether the loop stood still since this was asked last. In the middle of a turn this sees it as well. */
-    public boolean stoodStill(double now) {
-        boolean stood = stoodStill || now - seenAt > stoodStillAfter;
-        stoodStill = false;
+    public boolean hasStalled(double now) {
+        boolean stood = hasStalled || now - seenAt > stoodStillAfter;
+        hasStalled = false;
         if (stood) {
             seenAt = now;
         }
--- a/router/src/main/java/stagepier/overload/SharedRoom.java
+++ b/router/src/main/java/stagepier/overload/MemoryBudget.java
@@ -6,14 +6,14 @@
  * Memory that several owners share, in bytes. Who finds no room waits in line and is called once there may be some;
  * one alone always gets what it asks for, so that nobody waits for ever. Free of I/O and clock.
  */
-public final class SharedRoom {
+public final class MemoryBudget {
     private final long most;
     private long taken;
     private final ArrayDeque<Runnable> line = new ArrayDeque<>();
     private long waits;
 
     /** @param most bytes that all owners may hold together */
-    public SharedRoom(long most) {
+    public MemoryBudget(long most) {
         this.most = most;
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Bytes that are no longer the caller's; those who wait are called in the order in which they came. */
-    public void giveBack(int bytes) {
+    public void release(int bytes) {
         if (bytes == 0) {
             return;
         }
--- a/router/src/main/java/stagepier/overload/Pressure.java
+++ b/router/src/main/java/stagepier/overload/Pressure.java
@@ -13,7 +13,7 @@
     }
 
     /** Connections that are accepted in a row while nothing presses. */
-    public static final int ACCEPTED_USUALLY = 16;
+    public static final int DEFAULT_ACCEPT_BATCH = 16;
     /** Mean lateness of the loop from which on it is in that state. */
     private static final double[] FROM = {0, 0.01, 0.05};
     /** Part of that lateness under which it has to be, and for how long, to leave the state again. */
@@ -21,13 +21,13 @@
 
     private static final double LEAVES_AFTER = 1;
     /** Connections that are accepted in a row in each state: those who are here come first. */
-    private static final int[] ACCEPTED = {ACCEPTED_USUALLY, 8, 2};
+    private static final int[] ACCEPTED = {DEFAULT_ACCEPT_BATCH, 8, 2};
 
     private State state = State.NORMAL;
     private double calmSince = Double.NaN;
 
     /** The loop's mean lateness now; returns whether the state has changed. */
-    public boolean isNow(double now, double lateness) {
+    public boolean update(double now, double lateness) {
         State was = state;
         if (state != State.OVERLOADED && lateness >= FROM[state.ordinal() + 1]) {
             state = State.values()[state.ordinal() + 1];
@@ -47,7 +47,7 @@
         return state;
     }
 
-    public int acceptedInARow() {
+    public int acceptBatch() {
         return ACCEPTED[state.ordinal()];
     }
 }
--- a/router/src/main/java/stagepier/overload/Silence.java
+++ b/router/src/main/java/stagepier/overload/SilenceDetector.java
@@ -5,7 +5,7 @@
  * to the same server answer what was sent later. Knows how long the first in order usually waits for its answer. One
  * for each server. Free of I/O and clock; all times in seconds.
  */
-public final class Silence {
+public final class SilenceDetector {
     /** Weight of one answer in the running means. */
     private static final double GAIN = 1.0 / 32;
     /** Part of the longest wait that is forgotten with each answer. */
@@ -30,7 +30,7 @@
     private double longest;
     private int seen;
 
-    public Silence(double shortestDeadline) {
+    public SilenceDetector(double shortestDeadline) {
         this.shortestDeadline = shortestDeadline;
     }
 
--- a/router/src/main/java/stagepier/overload/Allowance.java
+++ b/router/src/main/java/stagepier/overload/TokenBucket.java
@@ -1,14 +1,14 @@
 package stagepier.overload;
 
 /** So many a second on the average, and so many at once: a token bucket. Free of a clock of its own. */
-public final class Allowance {
+public final class TokenBucket {
     private final double perSecond;
     private final double most;
     private double tokens;
     private double at = Double.NaN;
 
     /** @param most what may be saved up; there from the start */
-    public Allowance(double perSecond, double most) {
+    public TokenBucket(double perSecond, double most) {
         this.perSecond = perSecond;
         this.most = most;
         tokens = most;
--- a/router/src/main/java/stagepier/peers/PeerReport.java
+++ b/router/src/main/java/stagepier/peers/PeerReport.java
@@ -14,7 +14,7 @@
  *                      random sample of them
  * @param entries       server by server; with an open circuit as many as a message holds
  */
-public record PeerReport(int zone, double window, double weight, int closedServers, List<Api.News> entries) {
+public record PeerReport(int zone, double window, double weight, int closedServers, List<Api.ServerReport> entries) {
     /** The zone of a plain report. */
     public static final int NO_ZONE = -1;
     /** Seconds for which a plain report counts, and at the least any other. */
@@ -23,7 +23,7 @@
     public static final double WINDOW_MOST = 4;
 
     /** A report of a router that sends each one that its module makes: it stands for itself alone. */
-    public static PeerReport plain(List<Api.News> entries) {
+    public static PeerReport plain(List<Api.ServerReport> entries) {
         return new PeerReport(NO_ZONE, WINDOW_LEAST, 1, closed(entries), entries);
     }
 
@@ -37,7 +37,7 @@
         return named == 0 ? 1 : (double) closedServers / named;
     }
 
-    static int closed(List<Api.News> entries) {
+    static int closed(List<Api.ServerReport> entries) {
         return (int) entries.stream().filter(entry -> !entry.open()).count();
     }
 }
--- a/router/src/main/java/stagepier/peers/NewsCodec.java
+++ b/router/src/main/java/stagepier/peers/PeerReportCodec.java
@@ -15,7 +15,7 @@
  * (2 bytes), the weight (a float of 4 bytes) and how many servers without an open circuit the sender has attempts at (2
  * bytes). Free of I/O. What is too much for one message is left out: the module puts first what matters most.
  */
-public final class NewsCodec {
+public final class PeerReportCodec {
     /** Bytes of a message at the most, as the platform has it. */
     public static final int BYTES_MOST = 256;
 
@@ -36,10 +36,10 @@
     private static final long NUMBER = 0xffffffffL;
     private static final double MILLIS = 1e3;
 
-    private NewsCodec() {}
+    private PeerReportCodec() {}
 
     /** Whether a server can be told of: its name has to be a number of 32 bits. */
-    static boolean canName(Api.News entry) {
+    static boolean canName(Api.ServerReport entry) {
         return (entry.server() & ~NUMBER) == 0;
     }
 
@@ -56,8 +56,8 @@
     /** Servers whose names are no numbers of 32 bits are left out, too. */
     public static byte[] encode(PeerReport report) {
         boolean plain = report.isPlain();
-        List<Api.News> entries = report.entries().stream()
-                .filter(NewsCodec::canName)
+        List<Api.ServerReport> entries = report.entries().stream()
+                .filter(PeerReportCodec::canName)
                 .limit(plain ? ENTRIES_MOST : ENTRIES_MOST_WEIGHTED)
                 .toList();
         ByteBuffer to = ByteBuffer.allocate((plain ? HEADER : HEADER_WEIGHTED) + ENTRY * entries.size());
@@ -68,7 +68,7 @@
                     .putFloat((float) report.weight())
                     .putShort((short) Math.min(SHORT, report.closedServers()));
         }
-        for (Api.News n : entries) {
+        for (Api.ServerReport n : entries) {
             to.putInt((int) n.server()).put((byte) (Math.min(IN_FLIGHT_MOST, n.inFlight()) | (n.open() ? OPEN : 0)));
         }
         return to.array();
@@ -89,7 +89,7 @@
             double window = plain ? PeerReport.WINDOW_LEAST : (from.getShort() & SHORT) / MILLIS;
             double weight = plain ? 1 : from.getFloat();
             int closedServers = plain ? 0 : from.getShort() & SHORT;
-            List<Api.News> entries = entries(from, n);
+            List<Api.ServerReport> entries = entries(from, n);
             int closed = PeerReport.closed(entries);
             // Not so for no number, either.
             boolean weighs = weight >= 1 && weight < Double.POSITIVE_INFINITY;
@@ -104,14 +104,14 @@
     }
 
     /** Fewer than told where a server is named twice: one message is one router's report, whatever it repeats. */
-    private static List<Api.News> entries(ByteBuffer from, int n) {
-        List<Api.News> entries = new ArrayList<>(n);
+    private static List<Api.ServerReport> entries(ByteBuffer from, int n) {
+        List<Api.ServerReport> entries = new ArrayList<>(n);
         Set<Long> named = new HashSet<>();
         for (int i = 0; i < n; i++) {
             long server = from.getInt() & NUMBER;
             int load = from.get() & BYTE;
             if (named.add(server)) {
-                entries.add(new Api.News(server, load & IN_FLIGHT_MOST, (load & OPEN) != 0));
+                entries.add(new Api.ServerReport(server, load & IN_FLIGHT_MOST, (load & OPEN) != 0));
             }
         }
         return entries;
--- a/router/src/main/java/stagepier/peers/PeerReports.java
+++ b/router/src/main/java/stagepier/peers/PeerReports.java
@@ -31,17 +31,18 @@
     }
 
     /** The message to all others for what the module reports now, or null where none is due. */
-    public byte[] message(double now, List<Api.News> news) {
+    public byte[] message(double now, List<Api.ServerReport> news) {
         if (!schedule.isDue(now, news.size())) {
             heldBack++;
             return null;
         }
-        List<Api.News> entries = news.stream().filter(NewsCodec::canName).toList();
+        List<Api.ServerReport> entries =
+                news.stream().filter(PeerReportCodec::canName).toList();
         if (!schedule.isBounded()) {
-            return NewsCodec.encode(PeerReport.plain(entries));
+            return PeerReportCodec.encode(PeerReport.plain(entries));
         }
-        List<Api.News> chosen = sampler.choose(entries, NewsCodec.ENTRIES_MOST_WEIGHTED);
-        return NewsCodec.encode(
+        List<Api.ServerReport> chosen = sampler.choose(entries, PeerReportCodec.ENTRIES_MOST_WEIGHTED);
+        return PeerReportCodec.encode(
                 new PeerReport(zone, schedule.window(), schedule.weight(), PeerReport.closed(entries), chosen));
     }
 
@@ -59,7 +60,7 @@
     }
 
     /** What all others report of a server, added up. */
-    public Api.Elsewhere of(long server) {
+    public Api.PeerTotals of(long server) {
         return view.of(server);
     }
 
--- a/router/src/main/java/stagepier/peers/PeerSocket.java
+++ b/router/src/main/java/stagepier/peers/PeerSocket.java
@@ -19,7 +19,7 @@
 import java.util.function.ObjLongConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import stagepier.link.PatientBind;
+import stagepier.link.RetryingBind;
 import stagepier.link.Sockets;
 
 /**
@@ -59,7 +59,7 @@
     private final Addresses addresses;
     private final Listener listener;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private final PatientBind bind;
+    private final RetryingBind bind;
     private final boolean batched;
     private long sent;
     private long received;
@@ -73,7 +73,7 @@
         this.addresses = addresses;
         this.listener = listener;
         batched = addresses.routers().size() >= BATCHED_FROM;
-        bind = new PatientBind(
+        bind = new RetryingBind(
                 loop, this::bind, why -> LOG.warn("no word from other routers yet: {}", why.getMessage()));
         for (int i = 0; i < addresses.routers().size(); i++) {
             numbers.put(addresses.routers().get(i), i);
@@ -92,7 +92,7 @@
                 // A byte more than the most: what fills it was longer, and is no message.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(NewsCodec.BYTES_MOST + 1)
+                        new FixedRecvByteBufAllocator(PeerReportCodec.BYTES_MOST + 1)
                                 .maxMessagesPerRead(batched ? BATCH_MOST : 1))
                 .option(ChannelOption.AUTO_READ, !batched)
                 .handler(new Inbound())
@@ -139,7 +139,7 @@
             }
             PeerReport report;
             try {
-                report = NewsCodec.decode(ByteBufUtil.getBytes(packet.content()));
+                report = PeerReportCodec.decode(ByteBufUtil.getBytes(packet.content()));
             } catch (IllegalArgumentException e) {
                 malformed++;
                 return;
--- a/router/src/main/java/stagepier/peers/PeerView.java
+++ b/router/src/main/java/stagepier/peers/PeerView.java
@@ -97,7 +97,7 @@
         }
         List<Part> parts = new ArrayList<>(report.entries().size());
         double closedWeight = Math.min(routers, report.weight() * report.sampled());
-        for (Api.News entry : report.entries()) {
+        for (Api.ServerReport entry : report.entries()) {
             double weight = entry.open() ? Math.min(routers, report.weight()) : closedWeight;
             double units = weight * entry.inFlight() * UNITS;
             parts.add(new Part(entry.server(), Math.round(units), Math.round(weight * units), entry.open()));
@@ -145,13 +145,13 @@
     }
 
     /** What all others report of a server, added up. */
-    public Api.Elsewhere of(long server) {
+    public Api.PeerTotals of(long server) {
         Sum sum = sums.get(server);
         if (sum == null) {
-            return Api.Elsewhere.nothing(server);
+            return Api.PeerTotals.none(server);
         }
         long inFlight = Math.min(Integer.MAX_VALUE, Math.round(sum.units / UNITS));
-        return new Api.Elsewhere(server, (int) inFlight, sum.open(zoned));
+        return new Api.PeerTotals(server, (int) inFlight, sum.open(zoned));
     }
 
     /** How many attempts each one that is told of stands for, on the mean: a sum varies as much more. */
--- a/router/src/main/java/stagepier/peers/ReportSampler.java
+++ b/router/src/main/java/stagepier/peers/ReportSampler.java
@@ -18,21 +18,22 @@
     }
 
     /** At most so many of the entries. */
-    List<Api.News> choose(List<Api.News> entries, int most) {
+    List<Api.ServerReport> choose(List<Api.ServerReport> entries, int most) {
         if (entries.size() <= most) {
             return entries;
         }
-        List<Api.News> chosen = sample(entries.stream().filter(Api.News::open).toList(), most);
+        List<Api.ServerReport> chosen =
+                sample(entries.stream().filter(Api.ServerReport::open).toList(), most);
         chosen.addAll(sample(entries.stream().filter(entry -> !entry.open()).toList(), most - chosen.size()));
         return chosen;
     }
 
-    private List<Api.News> sample(List<Api.News> from, int most) {
-        List<Api.News> left = new ArrayList<>(from);
+    private List<Api.ServerReport> sample(List<Api.ServerReport> from, int most) {
+        List<Api.ServerReport> left = new ArrayList<>(from);
         int n = Math.min(most, left.size());
         for (int i = 0; i < n && n < left.size(); i++) {
             int j = random.nextInt(i, left.size());
-            Api.News drawn = left.get(j);
+            Api.ServerReport drawn = left.get(j);
             left.set(j, left.get(i));
             left.set(i, drawn);
         }
--- a/router/src/main/java/stagepier/peers/ReportSchedule.java
+++ b/router/src/main/java/stagepier/peers/ReportSchedule.java
@@ -55,8 +55,8 @@
             // Nothing earlier is known; it only says how long to wait.
             entries = entriesNow;
         }
-        bounded = gapFor(NewsCodec.plainBytes(entries)) > period;
-        meanGap = bounded ? Math.max(period, gapFor(NewsCodec.weightedBytes(entries))) : period;
+        bounded = gapFor(PeerReportCodec.plainBytes(entries)) > period;
+        meanGap = bounded ? Math.max(period, gapFor(PeerReportCodec.weightedBytes(entries))) : period;
         boolean due = !bounded || isDue(now);
         if (!bounded) {
             startedAt = Double.NaN;
--- a/router/src/main/java/stagepier/server/LinkActivity.java
+++ b/router/src/main/java/stagepier/server/LinkActivity.java
@@ -1,6 +1,6 @@
 package stagepier.server;
 
-import stagepier.overload.Silence;
+import stagepier.overload.SilenceDetector;
 
 /**
  * When something was last received on one connection to a cache server, and what that says of the connection. Free of I/O; all times
@@ -13,7 +13,7 @@
     private static final double RESTED = 0.002;
 
     /** What is usual of all connections to the server. */
-    private final Silence silence;
+    private final SilenceDetector silence;
     /** When an answer came last, or the first request was sent after the link was idle. */
     private double heardAt;
 
@@ -25,7 +25,7 @@
     /** The longest rest between two pieces of the large value that is being received. */
     private double longestRest;
 
-    LinkActivity(Silence silence, double now) {
+    LinkActivity(SilenceDetector silence, double now) {
         this.silence = silence;
         heardAt = now;
     }
--- a/router/src/main/java/stagepier/server/SendGuard.java
+++ b/router/src/main/java/stagepier/server/SendGuard.java
@@ -16,7 +16,7 @@
     }
 
     /** How an attempt ends that may not begin; null where it may. */
-    Api.Outcome objection(Execution execution, ServerPool pool) {
+    Api.Outcome rejection(Execution execution, ServerPool pool) {
         if (!invariants.check(
                 Invariant.SENT_ONLY_WHILE_WANTED, execution.isWanted(), () -> "nobody waits for " + execution)) {
             return Api.Outcome.CANCELLED;
--- a/router/src/main/java/stagepier/server/ServerLink.java
+++ b/router/src/main/java/stagepier/server/ServerLink.java
@@ -226,9 +226,9 @@
         // One at a time: what waits here can still be withdrawn, what is in the ring, or waits at the server, can not.
         if (nothingQueued() && !waiting.isEmpty() && sent.size() < pool.pools().streams()) {
             Execution next = waiting.next();
-            Api.Outcome objection = pool.pools().sendGuard().objection(next, pool);
-            if (objection != null) {
-                next.end(objection);
+            Api.Outcome rejection = pool.pools().sendGuard().rejection(next, pool);
+            if (rejection != null) {
+                next.end(rejection);
                 return;
             }
             if (sent.isEmpty()) {
@@ -277,7 +277,7 @@
 
     @Override
     protected void onBytes() {
-        pool.pools().delay().reads(pool.pools().now());
+        pool.pools().delay().onRead(pool.pools().now());
         workOn();
     }
 
@@ -357,7 +357,7 @@
         if (flow.isAbandoned()) {
             parser.passOver(bytes);
         } else {
-            flow.more();
+            flow.onData();
         }
         if (flow == null || !parser.endsFlow(bytes)) {
             return false;
@@ -375,9 +375,9 @@
         if (ended != null) {
             pool.pools().flowEnds(whole || ended.isAbandoned());
             if (whole) {
-                ended.whole();
+                ended.onComplete();
             } else {
-                ended.broken();
+                ended.onFailure();
             }
         }
     }
--- a/router/src/main/java/stagepier/server/ServerPool.java
+++ b/router/src/main/java/stagepier/server/ServerPool.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import stagepier.Api;
-import stagepier.overload.Allowance;
-import stagepier.overload.Silence;
+import stagepier.overload.SilenceDetector;
+import stagepier.overload.TokenBucket;
 
 /** The links to one cache server; owns them. */
 final class ServerPool {
@@ -22,8 +22,8 @@
 
     private final ServerPools pools;
     private final List<ServerLink> links = new ArrayList<>();
-    private final Silence silence;
-    private final Allowance givenUp = new Allowance(GIVEN_UP_A_SECOND, GIVEN_UP_AT_ONCE);
+    private final SilenceDetector silence;
+    private final TokenBucket givenUp = new TokenBucket(GIVEN_UP_A_SECOND, GIVEN_UP_AT_ONCE);
     private InetSocketAddress address;
     private boolean retired;
     /** The next look for silent links, and when it is; null for none. */
@@ -33,10 +33,10 @@
 
     ServerPool(ServerPools pools) {
         this.pools = pools;
-        silence = new Silence(pools.shortestDeadline());
+        silence = new SilenceDetector(pools.shortestDeadline());
     }
 
-    Silence silence() {
+    SilenceDetector silence() {
         return silence;
     }
 
--- a/router/src/main/java/stagepier/server/ServerPools.java
+++ b/router/src/main/java/stagepier/server/ServerPools.java
@@ -26,7 +26,7 @@
 import stagepier.memcache.Protocol;
 import stagepier.overload.LinkShare;
 import stagepier.overload.LoopDelay;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 import stagepier.tasks.GuardedTask;
 
 /** The server side: a pool of links for each cache server of the list. */
@@ -85,7 +85,7 @@
     private int flows;
     private long flowsBegun;
     private long flowsBroken;
-    private final SharedRoom room = new SharedRoom(LARGE_VALUES_MOST);
+    private final MemoryBudget room = new MemoryBudget(LARGE_VALUES_MOST);
     private LoadReportFormat reports = new LoadReportFormat(List.of());
 
     /**
@@ -152,7 +152,7 @@
         return reports;
     }
 
-    SharedRoom room() {
+    MemoryBudget room() {
         return room;
     }
 
--- a/router/src/main/java/stagepier/shadow/CandidateFile.java
+++ b/router/src/main/java/stagepier/shadow/CandidateFile.java
@@ -25,14 +25,14 @@
             "beginnings of keys: 1 to 250 visible characters without quote and backslash";
 
     /** What staff want done with the candidate. */
-    public enum Wish {
+    public enum DesiredState {
         TRY,
         PROMOTE,
         BACK
     }
 
     /** A file: the wish is no part of the map, so that it does not make another candidate of it. */
-    public record Read(CandidateMap map, Wish wish) {}
+    public record Read(CandidateMap map, DesiredState wish) {}
 
     private CandidateFile() {}
 
@@ -99,7 +99,7 @@
                 steps,
                 stepSeconds,
                 backSeconds);
-        return new Read(map, wish.isEmpty() ? Wish.TRY : Wish.valueOf(wish.toUpperCase(Locale.ROOT)));
+        return new Read(map, wish.isEmpty() ? DesiredState.TRY : DesiredState.valueOf(wish.toUpperCase(Locale.ROOT)));
     }
 
     private static TreeMap<String, Double> servers(CandidateTable root) {
--- a/router/src/main/java/stagepier/shadow/Comparison.java
+++ b/router/src/main/java/stagepier/shadow/Comparison.java
@@ -18,46 +18,47 @@
      * @param first  no copy of this key has been answered there of late
      * @param before what the real owner gave before this answer, 0 for nothing that is known
      */
-    public static Result of(Seen real, Seen copy, boolean first, long before) {
+    public static ComparisonResult of(ExecutionResult real, ExecutionResult copy, boolean first, long before) {
         if (!copy.isServed()) {
-            return real.isServed() ? failed(copy) : Result.NOT_COMPARED;
+            return real.isServed() ? failed(copy) : ComparisonResult.NOT_COMPARED;
         }
         if (!real.isServed()) {
-            return first ? Result.MOVED : Result.REAL_FAILED;
+            return first ? ComparisonResult.MOVED : ComparisonResult.REAL_FAILED;
         }
         if (real.hasValue() && copy.hasValue() && real.value() != copy.value()) {
             // Whatever it is, it is asked for once more, unless it is known.
-            return copy.value() == before ? Result.OLDER : Result.IN_DOUBT;
+            return copy.value() == before ? ComparisonResult.OLDER : ComparisonResult.IN_DOUBT;
         }
         if (first && !copy.isHit()) {
-            return Result.MOVED;
+            return ComparisonResult.MOVED;
         }
-        return real.hasValue() && copy.hasValue() ? Result.SAME : Result.NOT_COMPARED;
+        return real.hasValue() && copy.hasValue() ? ComparisonResult.SAME : ComparisonResult.NOT_COMPARED;
     }
 
-    private static Result failed(Seen copy) {
+    private static ComparisonResult failed(ExecutionResult copy) {
         return switch (copy.outcome()) {
-            case TIMEOUT -> Result.TIMEOUT;
-            case FULL, CONNECT_FAILED, NOT_SENT -> Result.TURNED_AWAY;
-            case CANCELLED -> Result.NOT_COMPARED;
-            default -> Result.ERROR;
+            case TIMEOUT -> ComparisonResult.TIMEOUT;
+            case FULL, CONNECT_FAILED, NOT_SENT -> ComparisonResult.TURNED_AWAY;
+            case CANCELLED -> ComparisonResult.NOT_COMPARED;
+            default -> ComparisonResult.ERROR;
         };
     }
 
     /** Of the second look, in which first the real owner, then the candidate's is asked once more. */
-    public static Result secondLook(Seen real, Seen copy, Seen realAgain, Seen copyAgain) {
+    public static ComparisonResult secondLook(
+            ExecutionResult real, ExecutionResult copy, ExecutionResult realAgain, ExecutionResult copyAgain) {
         if (!realAgain.hasValue() || !copyAgain.hasValue()) {
-            return Result.IN_DOUBT;
+            return ComparisonResult.IN_DOUBT;
         }
         if (realAgain.value() == copy.value()
                 || copyAgain.value() == realAgain.value() && realAgain.value() != real.value()) {
-            return Result.NEWER;
+            return ComparisonResult.NEWER;
         }
         if (copyAgain.value() == real.value()) {
-            return Result.OLDER;
+            return ComparisonResult.OLDER;
         }
         // Both as before, or the candidate's gives what nobody else does.
-        return realAgain.value() == real.value() ? Result.WRONG : Result.IN_DOUBT;
+        return realAgain.value() == real.value() ? ComparisonResult.WRONG : ComparisonResult.IN_DOUBT;
     }
 
     /**
@@ -66,7 +67,7 @@
      *
      * @param steady the copy went out on a connection that had served before
      */
-    public static double score(Result result, Seen real, Seen copy, boolean steady) {
+    public static double score(ComparisonResult result, ExecutionResult real, ExecutionResult copy, boolean steady) {
         return switch (result) {
             case ERROR, TIMEOUT, TURNED_AWAY -> RATIO_MOST;
             case REAL_FAILED -> real.outcome() == Api.Outcome.CANCELLED ? Double.NaN : -RATIO_MOST;
--- a/router/src/main/java/stagepier/shadow/Result.java
+++ b/router/src/main/java/stagepier/shadow/ComparisonResult.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What a copy's answer was beside the real one. */
-public enum Result {
+public enum ComparisonResult {
     /** The same value. */
     SAME,
     /** The first copy of a key that the candidate moves: its new owner has to fetch it, which is no fault of the map. */
--- a/router/src/main/java/stagepier/shadow/Ruling.java
+++ b/router/src/main/java/stagepier/shadow/CopyDecision.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Whether a copy is sent, or why not. */
-public enum Ruling {
+public enum CopyDecision {
     COPY,
     /** The candidate leaves the key where it is, or the real one was sent there. */
     NOT_MOVED,
--- a/router/src/main/java/stagepier/shadow/Pace.java
+++ b/router/src/main/java/stagepier/shadow/CopyRateLimiter.java
@@ -8,7 +8,7 @@
  * more than the share are spent. Below 1 it is the share: no more than one in any {@code 1 / share} seconds. In both cases a twentieth
  * less, so that it also holds for who sees it by another clock. Free of I/O and clock; times in seconds.
  */
-public final class Pace {
+public final class CopyRateLimiter {
     private static final double MARGIN = 0.95;
 
     private final double rate;
@@ -16,7 +16,7 @@
     private double at = Double.NaN;
 
     /** @param fleet number of configured routers */
-    public Pace(double budget, int fleet) {
+    public CopyRateLimiter(double budget, int fleet) {
         double share = budget / fleet;
         rate = MARGIN * (share >= 1 ? Math.floor(share) : share);
     }
--- a/router/src/main/java/stagepier/shadow/Fitness.java
+++ b/router/src/main/java/stagepier/shadow/Eligibility.java
@@ -1,7 +1,7 @@
 package stagepier.shadow;
 
 /** Whether a cache server may be asked by a copy. */
-public enum Fitness {
+public enum Eligibility {
     FIT,
     /** Not on the list. */
     ABSENT,
--- a/router/src/main/java/stagepier/shadow/Seen.java
+++ b/router/src/main/java/stagepier/shadow/ExecutionResult.java
@@ -10,7 +10,7 @@
  * @param elapsed seconds
  * @param alone   nothing else was awaited on its connection, and that was up: its time is the server's own
  */
-public record Seen(Api.Outcome outcome, Api.Lookup lookup, long value, double elapsed, boolean alone) {
+public record ExecutionResult(Api.Outcome outcome, Api.Lookup lookup, long value, double elapsed, boolean alone) {
     /** Of a value: two that differ have the same checksum once in 2^32. 0 for none. */
     public static long checksum(byte[] body) {
         if (body == null) {
--- a/router/src/main/java/stagepier/shadow/Promotion.java
+++ b/router/src/main/java/stagepier/shadow/Promotion.java
@@ -54,7 +54,7 @@
             return "not promoted: the candidate was stopped: " + stopped;
         }
         if (verdict.kind() != Verdict.Kind.BETTER && verdict.kind() != Verdict.Kind.NO_DIFFERENCE) {
-            return "not promoted: the verdict is " + verdict.words();
+            return "not promoted: the verdict is " + verdict.describe();
         }
         if (!view.get().majority()) {
             return "not promoted: this router is in no majority";
@@ -145,7 +145,7 @@
     }
 
     /** For staff; with the routers that hold another candidate than the one promoted. */
-    synchronized String words() {
+    synchronized String describe() {
         if (plan() == null) {
             return "promotion: none";
         }
--- a/router/src/main/java/stagepier/shadow/Spread.java
+++ b/router/src/main/java/stagepier/shadow/RingDifference.java
@@ -18,11 +18,11 @@
  * @param present  part of the keys by server
  * @param foretold the same by the candidate
  */
-public record Spread(double moved, Map<Long, Double> present, Map<Long, Double> foretold) {
+public record RingDifference(double moved, Map<Long, Double> present, Map<Long, Double> foretold) {
     private static final int SAMPLE = 20_000;
 
     /** Compares two rings. */
-    public static Spread of(ShardRing present, ShardRing candidate) {
+    public static RingDifference of(ShardRing present, ShardRing candidate) {
         Map<Long, Double> before = new TreeMap<>();
         Map<Long, Double> after = new TreeMap<>();
         SplittableRandom keys = new SplittableRandom(1);
@@ -35,7 +35,7 @@
             before.merge(from, 1.0 / SAMPLE, Double::sum);
             after.merge(to, 1.0 / SAMPLE, Double::sum);
         }
-        return new Spread(moved / (double) SAMPLE, before, after);
+        return new RingDifference(moved / (double) SAMPLE, before, after);
     }
 
     /** The largest part of a server over the mean part: 1 where all have the same. */
@@ -54,7 +54,7 @@
     }
 
     /** For staff. */
-    public String words(List<Api.Member> members, List<String> zones, List<String> kinds) {
+    public String describe(List<Api.Member> members, List<String> zones, List<String> kinds) {
         return String.format(
                 Locale.ROOT,
                 "keys moved %.1f%%, largest server %.2f -> %.2f of the mean, zones %s, kinds %s",
--- a/router/src/main/java/stagepier/shadow/SecondLook.java
+++ b/router/src/main/java/stagepier/shadow/SecondLook.java
@@ -15,7 +15,7 @@
          *
          * @return whether it was sent: there may be no free link, no allowance, or the server may not be asked now
          */
-        boolean ask(long server, Consumer<Seen> done);
+        boolean ask(long server, Consumer<ExecutionResult> done);
     }
 
     /** Seconds after which it is given up. */
@@ -24,15 +24,22 @@
     private final Means means;
     private final long realOwner;
     private final long candidate;
-    private final Seen real;
-    private final Seen copy;
+    private final ExecutionResult real;
+    private final ExecutionResult copy;
     private final double until;
-    private final Consumer<Result> done;
-    private Seen realAgain;
+    private final Consumer<ComparisonResult> done;
+    private ExecutionResult realAgain;
     private boolean out;
     private boolean over;
 
-    SecondLook(Means means, long realOwner, long candidate, Seen real, Seen copy, double now, Consumer<Result> done) {
+    SecondLook(
+            Means means,
+            long realOwner,
+            long candidate,
+            ExecutionResult real,
+            ExecutionResult copy,
+            double now,
+            Consumer<ComparisonResult> done) {
         this.means = means;
         this.realOwner = realOwner;
         this.candidate = candidate;
@@ -48,7 +55,7 @@
             return;
         }
         if (now > until) {
-            end(Result.IN_DOUBT);
+            end(ComparisonResult.IN_DOUBT);
             return;
         }
         // Set before: what is asked may end at once.
@@ -56,7 +63,7 @@
         out = means.ask(realAgain == null ? realOwner : candidate, this::answered) && out;
     }
 
-    private void answered(Seen seen) {
+    private void answered(ExecutionResult seen) {
         out = false;
         if (!seen.hasValue()) {
             // Asked again, until its patience ends.
@@ -69,7 +76,7 @@
         }
     }
 
-    private void end(Result result) {
+    private void end(ComparisonResult result) {
         over = true;
         done.accept(result);
     }
--- a/router/src/main/java/stagepier/shadow/ServerStates.java
+++ b/router/src/main/java/stagepier/shadow/ServerStates.java
@@ -20,8 +20,8 @@
 
     /** What the module knows better: its own circuits and crowds. */
     @FunctionalInterface
-    public interface Judge {
-        Fitness of(double now, long server);
+    public interface EligibilityCheck {
+        Eligibility of(double now, long server);
     }
 
     private static final class State {
@@ -34,11 +34,11 @@
 
     private final Map<Long, State> servers = new HashMap<>();
     private final double warmUp;
-    private final Judge judge;
+    private final EligibilityCheck judge;
     private volatile List<Api.Member> members = List.of();
 
     /** @param warmUp seconds after its start for which a server is cold */
-    public ServerStates(double warmUp, Judge judge) {
+    public ServerStates(double warmUp, EligibilityCheck judge) {
         this.warmUp = warmUp;
         this.judge = judge;
     }
@@ -102,20 +102,20 @@
         }
     }
 
-    Fitness of(double now, long server) {
+    Eligibility of(double now, long server) {
         State s = servers.get(server);
         if (s == null) {
-            return Fitness.ABSENT;
+            return Eligibility.ABSENT;
         }
         if (s.member.state() != Api.MemberState.READY) {
-            return Fitness.DRAINING;
+            return Eligibility.DRAINING;
         }
         if (s.member.startedAt() > 0 && now - s.member.startedAt() < warmUp) {
-            return Fitness.COLD;
+            return Eligibility.COLD;
         }
         if (s.failures >= FAILURES && now - s.failedAt < OPEN) {
-            return Fitness.OPEN;
+            return Eligibility.OPEN;
         }
-        return now - s.fullAt < CROWDED ? Fitness.CROWDED : judge.of(now, server);
+        return now - s.fullAt < CROWDED ? Eligibility.CROWDED : judge.of(now, server);
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowCopies.java
+++ b/router/src/main/java/stagepier/shadow/ShadowCopies.java
@@ -69,10 +69,10 @@
             RouterState router,
             ServerStates servers,
             LongSupplier nanoTime,
-            Supplier<ShadowOrders> orders,
+            Supplier<ShadowPlan> orders,
             Predicate<Counts.Snapshot> publish,
-            Supplier<Api.Promoted> promoted,
-            Consumer<Api.Promoted> promote,
+            Supplier<Api.PromotedRing> promoted,
+            Consumer<Api.PromotedRing> promote,
             History history) {}
 
     /** A real request in the slice, and its copy. */
@@ -94,8 +94,8 @@
         /** What the client got, for the history. */
         private String answer;
 
-        private Seen seen;
-        private Seen copy;
+        private ExecutionResult seen;
+        private ExecutionResult copy;
 
         Pair(Exchange real, long server, String className, long key) {
             this.real = real;
@@ -118,13 +118,13 @@
         }
     };
 
-    private ShadowOrders orders;
+    private ShadowPlan orders;
     private ShadowRules rules;
     private KeyMemory memory;
     private Counts counts;
     private String id = "";
     private SecondLook look;
-    private Api.Promoted promoted;
+    private Api.PromotedRing promoted;
     private boolean halted;
     private boolean broken;
     private final SplittableRandom random;
@@ -184,8 +184,8 @@
                 Pair p = attempt == 0 ? pairs.get(x.id()) : null;
                 if (p != null) {
                     ServerTransport.Transmission sending = x.sending(0);
-                    long value = served == null || served.flow() != null ? 0 : Seen.checksum(served.body());
-                    p.seen = new Seen(outcome, lookup, value, elapsed, sending == null || sending.isAlone());
+                    long value = served == null || served.flow() != null ? 0 : ExecutionResult.checksum(served.body());
+                    p.seen = new ExecutionResult(outcome, lookup, value, elapsed, sending == null || sending.isAlone());
                     complete(p);
                     // After this turn's work: the client's answer goes first.
                     parts.loop().execute(() -> guarded(() -> consider(p)));
@@ -200,7 +200,7 @@
         Pair open = p == null ? pairs.get(x.id()) : p;
         if (open != null && parts.history() != History.NONE) {
             guarded(() -> {
-                open.answer = reply.kind().name() + " " + Long.toHexString(Seen.checksum(reply.body()));
+                open.answer = reply.kind().name() + " " + Long.toHexString(ExecutionResult.checksum(reply.body()));
                 if (p != null) {
                     writeReal(p);
                 }
@@ -243,7 +243,7 @@
     }
 
     private void look(Exchange x, long server) {
-        ShadowOrders now = parts.orders().get();
+        ShadowPlan now = parts.orders().get();
         if (now == null) {
             return;
         }
@@ -259,7 +259,7 @@
         }
         counts.add("asked", 1);
         if (pairs.size() >= PAIRS_MOST) {
-            counts.add(Ruling.NO_LINK.counter(), 1);
+            counts.add(CopyDecision.NO_LINK.counter(), 1);
             return;
         }
         Pair p = new Pair(x, server, className, key);
@@ -269,7 +269,7 @@
     }
 
     /** Other orders: where they are of another map, all begins anew. */
-    private void takeUp(ShadowOrders now) {
+    private void takeUp(ShadowPlan now) {
         if (now == orders) {
             return;
         }
@@ -298,14 +298,15 @@
             return;
         }
         p.considered = true;
-        Ruling ruling = p.seen != null && p.seen.outcome() == Api.Outcome.CANCELLED ? Ruling.NOT_SENT : rule(p);
+        CopyDecision ruling =
+                p.seen != null && p.seen.outcome() == Api.Outcome.CANCELLED ? CopyDecision.NOT_SENT : rule(p);
         counts.add(ruling.counter(), 1);
-        if (ruling != Ruling.COPY) {
+        if (ruling != CopyDecision.COPY) {
             pairs.remove(p.real.id());
         }
     }
 
-    private Ruling rule(Pair p) {
+    private CopyDecision rule(Pair p) {
         double now = parts.clock().now();
         p.candidate = orders.ring().owner(p.key);
         p.first = memory.isFirst(now, p.key);
@@ -317,9 +318,9 @@
         load(p.candidate, "then");
         ServerTransport.Transmission sending = p.real.sending(0);
         double left = p.real.deadlineAt() - now;
-        Ruling ruling = rules.rule(
+        CopyDecision ruling = rules.rule(
                 now,
-                new ShadowRules.Asked(
+                new ShadowRules.OriginalRequest(
                         repeatable,
                         p.real.command().isWrite(),
                         0,
@@ -331,21 +332,21 @@
                 isOrdered(),
                 parts.router(),
                 parts.servers().of(now, p.candidate));
-        if (ruling != Ruling.COPY) {
+        if (ruling != CopyDecision.COPY) {
             return ruling;
         }
         if (look != null) {
             // What is in doubt comes first.
-            return Ruling.OVER_BUDGET;
+            return CopyDecision.OVER_BUDGET;
         }
         p.control = !p.first && random.nextBoolean();
         p.target = p.control ? p.server : p.candidate;
-        if (p.control && parts.servers().of(now, p.target) != Fitness.FIT) {
-            return Ruling.NOT_FIT;
+        if (p.control && parts.servers().of(now, p.target) != Eligibility.FIT) {
+            return CopyDecision.NOT_FIT;
         }
         ShadowLink link = links.free(p.target, parts.servers().address(p.target));
-        ruling = link == null ? Ruling.NO_LINK : rules.afford(now, p.first);
-        if (ruling == Ruling.COPY) {
+        ruling = link == null ? CopyDecision.NO_LINK : rules.afford(now, p.first);
+        if (ruling == CopyDecision.COPY) {
             p.copied = true;
             String real = p.real.command().id();
             parts.history()
@@ -375,8 +376,8 @@
     }
 
     /**
-     * Requests by zone and kind, as they are and as the candidate would have them: with {@link Spread}, the load that is
-     * foretold.
+     * Requests by zone and kind, as they are and as the candidate would have them: with {@link RingDifference}, the load
+     * that is foretold.
      */
     private void load(long server, String when) {
         Api.Member member = parts.servers().member(server);
@@ -391,7 +392,7 @@
         return index >= 0 && index < names.size() ? names.get(index) : "other";
     }
 
-    private void send(ShadowLink link, Command command, double left, Consumer<Seen> done) {
+    private void send(ShadowLink link, Command command, double left, Consumer<ExecutionResult> done) {
         String copyId = parts.ids() + Long.toHexString(++lastId);
         counts.add("copies", 1);
         links.ask(link, new ShadowRequest(copyId, command, left, seen -> guarded(() -> done.accept(seen))));
@@ -411,7 +412,7 @@
         double now = parts.clock().now();
         parts.servers().ended(now, p.target, p.copy.outcome());
         long before = memory.before(p.key, p.seen.value());
-        Result result = Comparison.of(p.seen, p.copy, p.first, before);
+        ComparisonResult result = Comparison.of(p.seen, p.copy, p.first, before);
         memory.gave(p.key, p.seen.value());
         double score = Comparison.score(result, p.seen, p.copy, p.copy.alone());
         if (++compared > COMPARED_COLD) {
@@ -436,7 +437,7 @@
         } else if (!p.first && p.seen.isMiss() && p.copy.isHit()) {
             counts.add("hit_for_miss", 1);
         }
-        if (result == Result.IN_DOUBT && look == null) {
+        if (result == ComparisonResult.IN_DOUBT && look == null) {
             Command command = p.real.command();
             look = new SecondLook(
                     (server, done) -> askAgain(server, command, done),
@@ -450,13 +451,13 @@
     }
 
     /** @return whether it was sent */
-    private boolean askAgain(long server, Command command, Consumer<Seen> done) {
+    private boolean askAgain(long server, Command command, Consumer<ExecutionResult> done) {
         double now = parts.clock().now();
-        if (rules.givesWay(now, isOrdered(), parts.router()) || parts.servers().of(now, server) != Fitness.FIT) {
+        if (rules.givesWay(now, isOrdered(), parts.router()) || parts.servers().of(now, server) != Eligibility.FIT) {
             return false;
         }
         ShadowLink link = links.free(server, parts.servers().address(server));
-        if (link == null || rules.afford(now, false) != Ruling.COPY) {
+        if (link == null || rules.afford(now, false) != CopyDecision.COPY) {
             return false;
         }
         int index = parts.settings().names().classes().indexOf(command.attribute("c"));
@@ -466,14 +467,14 @@
         return true;
     }
 
-    private void judged(Result result) {
+    private void judged(ComparisonResult result) {
         look = null;
-        if (result == Result.IN_DOUBT) {
+        if (result == ComparisonResult.IN_DOUBT) {
             counts.add("left_in_doubt", 1);
             return;
         }
         counts.add(result.counter(), 1);
-        if (result == Result.WRONG) {
+        if (result == ComparisonResult.WRONG) {
             halted = true;
             parts.history().write("shadow.wrong", "map", id);
             LOG.warn("candidate {} gives wrong answers: stopped here", id);
@@ -491,13 +492,13 @@
     }
 
     private void tick() {
-        Api.Promoted now = parts.promoted().get();
+        Api.PromotedRing now = parts.promoted().get();
         if (now != promoted) {
             promoted = now;
             parts.promote().accept(now);
         }
         guarded(() -> {
-            ShadowOrders current = parts.orders().get();
+            ShadowPlan current = parts.orders().get();
             if (broken || current == null) {
                 return;
             }
@@ -505,8 +506,8 @@
             double time = parts.clock().now();
             giveWay(time);
             links.sweep(server -> {
-                Fitness fitness = parts.servers().of(time, server);
-                return fitness != Fitness.ABSENT && fitness != Fitness.DRAINING;
+                Eligibility fitness = parts.servers().of(time, server);
+                return fitness != Eligibility.ABSENT && fitness != Eligibility.DRAINING;
             });
             if (look != null) {
                 look.look(time);
--- a/router/src/main/java/stagepier/shadow/ShadowLink.java
+++ b/router/src/main/java/stagepier/shadow/ShadowLink.java
@@ -7,7 +7,7 @@
 import stagepier.memcache.AnswerParser;
 import stagepier.memcache.MalformedException;
 import stagepier.memcache.RingBuffer;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 
 /**
  * A connection to a cache server for copies alone: one copy at a time, so that its time is the server's own. Shares nothing with
@@ -32,7 +32,7 @@
     private boolean passing;
 
     /** @param room for values that are collected, shared by all copies */
-    ShadowLink(Owner owner, long server, SharedRoom room) {
+    ShadowLink(Owner owner, long server, MemoryBudget room) {
         this.owner = owner;
         this.server = server;
         parser = new AnswerParser(room);
--- a/router/src/main/java/stagepier/shadow/ShadowLinks.java
+++ b/router/src/main/java/stagepier/shadow/ShadowLinks.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import stagepier.Api;
 import stagepier.exchange.Clock;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 import stagepier.server.Connector;
 
 /** The connections for copies; owns them. On the event loop. */
@@ -31,7 +31,7 @@
     private final int most;
     private final double idleMost;
     private final List<ShadowLink> links = new ArrayList<>();
-    private final SharedRoom room = new SharedRoom(ROOM);
+    private final MemoryBudget room = new MemoryBudget(ROOM);
 
     /**
      * @param most      links to all servers together
--- a/router/src/main/java/stagepier/shadow/ShadowOrders.java
+++ b/router/src/main/java/stagepier/shadow/ShadowPlan.java
@@ -14,14 +14,14 @@
  *                could not hear that the shadow was stopped
  * @param on      copies may be sent: in a majority, and nobody known has stopped the candidate
  */
-public record ShadowOrders(
+public record ShadowPlan(
         CandidateMap map, Slice slice, ShardRing ring, ShardRing present, int fleet, long until, boolean on) {
     public boolean holdAt(long nanoTime) {
         return on && nanoTime - until < 0;
     }
 
     /** Whether these orders need other budgets and counters than those. */
-    boolean isOtherMap(ShadowOrders than) {
+    boolean isOtherMap(ShadowPlan than) {
         return than == null || !map.equals(than.map) || fleet != than.fleet;
     }
 
--- a/router/src/main/java/stagepier/shadow/ShadowRequest.java
+++ b/router/src/main/java/stagepier/shadow/ShadowRequest.java
@@ -14,7 +14,7 @@
     private final String id;
     private final Command command;
     private final double timeout;
-    private final Consumer<Seen> done;
+    private final Consumer<ExecutionResult> done;
     private Future<?> timer;
     private boolean steady;
     private double sentAt;
@@ -25,7 +25,7 @@
      * @param command the real one
      * @param timeout the time that the real one has left, in seconds
      */
-    ShadowRequest(String id, Command command, double timeout, Consumer<Seen> done) {
+    ShadowRequest(String id, Command command, double timeout, Consumer<ExecutionResult> done) {
         this.id = id;
         this.command = command;
         this.timeout = timeout;
@@ -66,20 +66,20 @@
             case BUSY -> end(Api.Outcome.FULL, now);
             case FAILED -> end(Api.Outcome.ERROR, now);
             default ->
-                end(new Seen(
+                end(new ExecutionResult(
                         Api.Outcome.OK,
                         ResponseInfo.lookup(answer.hit()),
-                        answer.flow() > 0 ? 0 : Seen.checksum(answer.body()),
+                        answer.flow() > 0 ? 0 : ExecutionResult.checksum(answer.body()),
                         now - sentAt,
                         steady));
         }
     }
 
     void end(Api.Outcome outcome, double now) {
-        end(new Seen(outcome, Api.Lookup.UNKNOWN, 0, now - sentAt, steady));
+        end(new ExecutionResult(outcome, Api.Lookup.UNKNOWN, 0, now - sentAt, steady));
     }
 
-    private void end(Seen seen) {
+    private void end(ExecutionResult seen) {
         if (!over) {
             over = true;
             if (timer != null) {
--- a/router/src/main/java/stagepier/shadow/ShadowRules.java
+++ b/router/src/main/java/stagepier/shadow/ShadowRules.java
@@ -19,7 +19,7 @@
      * @param left       the time that it has
      * @param first      no copy of the key was answered by the candidate's owner of late: it is likely to fetch
      */
-    public record Asked(
+    public record OriginalRequest(
             boolean repeatable, boolean write, int attempt, boolean sent, double whole, double left, boolean first) {}
 
     /**
@@ -35,13 +35,13 @@
         }
     }
 
-    private final Pace copies;
-    private final Pace fetches;
+    private final CopyRateLimiter copies;
+    private final CopyRateLimiter fetches;
     private double refusedAt = Double.NEGATIVE_INFINITY;
 
     public ShadowRules(CandidateMap map, int fleet) {
-        copies = new Pace(map.copies(), fleet);
-        fetches = new Pace(map.fetches(), fleet);
+        copies = new CopyRateLimiter(map.copies(), fleet);
+        fetches = new CopyRateLimiter(map.fetches(), fleet);
     }
 
     /** This router has refused a request. */
@@ -55,38 +55,44 @@
     }
 
     /** What holds, the budgets apart. */
-    public Ruling rule(double now, Asked asked, Owners owners, boolean ordered, RouterState router, Fitness candidate) {
+    public CopyDecision rule(
+            double now,
+            OriginalRequest asked,
+            Owners owners,
+            boolean ordered,
+            RouterState router,
+            Eligibility candidate) {
         if (!asked.repeatable() || asked.write()) {
-            return Ruling.NOT_SAFE;
+            return CopyDecision.NOT_SAFE;
         }
         if (!owners.differ()) {
-            return Ruling.NOT_MOVED;
+            return CopyDecision.NOT_MOVED;
         }
         if (asked.attempt() > 0 || !asked.sent()) {
-            return Ruling.NOT_SENT;
+            return CopyDecision.NOT_SENT;
         }
         if (givesWay(now, ordered, router)) {
-            return Ruling.NOT_NOW;
+            return CopyDecision.NOT_NOW;
         }
         if (asked.left() <= TIME_LEFT * asked.whole()) {
-            return Ruling.SHORT_OF_TIME;
+            return CopyDecision.SHORT_OF_TIME;
         }
-        return candidate == Fitness.FIT ? Ruling.COPY : Ruling.NOT_FIT;
+        return candidate == Eligibility.FIT ? CopyDecision.COPY : CopyDecision.NOT_FIT;
     }
 
     /** Takes a copy out of the budgets, or says why not. */
-    public Ruling afford(double now, boolean first) {
+    public CopyDecision afford(double now, boolean first) {
         if (!copies.has(now)) {
-            return Ruling.OVER_BUDGET;
+            return CopyDecision.OVER_BUDGET;
         }
         if (first && !fetches.has(now)) {
-            return Ruling.OVER_FETCHES;
+            return CopyDecision.OVER_FETCHES;
         }
         copies.spend(now);
         if (first) {
             fetches.spend(now);
         }
-        return Ruling.COPY;
+        return CopyDecision.COPY;
     }
 
     /** A copy that was expected to be found was fetched. */
--- a/router/src/main/java/stagepier/shadow/ShadowPart.java
+++ b/router/src/main/java/stagepier/shadow/ShadowService.java
@@ -12,14 +12,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import stagepier.Api;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
-import stagepier.fleet.FleetPart;
+import stagepier.fleet.FleetRpc;
+import stagepier.fleet.FleetService;
 import stagepier.fleet.FleetView;
 import stagepier.fleet.History;
 import stagepier.fleet.Message;
 import stagepier.freeze.Calendar;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 import stagepier.tasks.Tasks;
 
 /**
@@ -27,8 +27,8 @@
  * is, stops a wrong candidate in the whole fleet, and has a good one promoted. One task talks to a random member four times a
  * second, one takes what the loop has counted.
  */
-public final class ShadowPart implements FleetPart {
-    private static final Logger LOG = LoggerFactory.getLogger(ShadowPart.class);
+public final class ShadowService implements FleetService {
+    private static final Logger LOG = LoggerFactory.getLogger(ShadowService.class);
     private static final Duration PAUSE = Duration.ofMillis(250);
     private static final Duration STEP_LOOK = Duration.ofMillis(100);
     private static final Duration CALL_MOST = Duration.ofMillis(500);
@@ -54,7 +54,7 @@
      */
     public record Parts(
             Tasks tasks,
-            Calls calls,
+            FleetRpc calls,
             FleetConfig config,
             long incarnation,
             Supplier<FleetView> view,
@@ -69,18 +69,18 @@
     private final Parts parts;
     private final Tasks tasks;
     private final ShadowState state;
-    private final Box<Counts.Snapshot> counted;
+    private final Mailbox<Counts.Snapshot> counted;
     private final Promotion promotion;
     private final Random random;
-    private volatile ShadowOrders orders;
+    private volatile ShadowPlan orders;
     private volatile String wish = "";
     private volatile List<Api.Member> ringMembers;
     private volatile String foretold = "";
-    private volatile Api.Promoted promoted;
+    private volatile Api.PromotedRing promoted;
     private int share;
     private volatile List<String> lines = List.of("shadow: no candidate");
 
-    public ShadowPart(Parts parts) {
+    public ShadowService(Parts parts) {
         this.parts = parts;
         tasks = parts.tasks();
         state = new ShadowState(
@@ -88,7 +88,7 @@
                 parts.incarnation(),
                 parts.config().members().size(),
                 parts.config().lease().toNanos());
-        counted = tasks.box(BOX);
+        counted = tasks.mailbox(BOX);
         random = new Random(parts.config().self().hashCode() * 31L + parts.incarnation());
         Duration lead = parts.config().lease().plus(parts.config().skew()).plus(Duration.ofSeconds(1));
         promotion = parts.agreement() == null
@@ -113,7 +113,7 @@
     }
 
     /** What the event loop may do now; null before anything is known. From any thread. */
-    public ShadowOrders orders() {
+    public ShadowPlan orders() {
         return orders;
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** The ring that part of the keys has been given to, for the module; null for none. From any thread. */
-    public Api.Promoted promoted() {
+    public Api.PromotedRing promoted() {
         return promoted;
     }
 
@@ -175,8 +175,8 @@
             LOG.error("{}: line 1: key version: {}", parts.config().candidate(), e.getMessage());
             return;
         }
-        if (wishes && promotion != null && read.wish() != CandidateFile.Wish.TRY) {
-            wish = read.wish() == CandidateFile.Wish.PROMOTE
+        if (wishes && promotion != null && read.wish() != CandidateFile.DesiredState.TRY) {
+            wish = read.wish() == CandidateFile.DesiredState.PROMOTE
                     ? promotion.promote(
                             read.map(), state.verdict(parts.view().get().majority()), state.stopped())
                     : promotion.back();
@@ -275,7 +275,7 @@
             if (lacked != null) {
                 parts.calls().call(member, Message.of(ShadowMessages.UPDATE, lacked), CALL_MOST);
             }
-        } catch (Calls.SilentException e) {
+        } catch (FleetRpc.NoReplyException e) {
             // Another one next time.
             LOG.debug("{}", e.getMessage());
         } catch (Message.MalformedException e) {
@@ -325,7 +325,7 @@
                     try {
                         parts.calls().call(member, word, CALL_MOST);
                         return;
-                    } catch (Calls.SilentException e) {
+                    } catch (FleetRpc.NoReplyException e) {
                         LOG.debug("{}", e.getMessage());
                     }
                 }
@@ -351,7 +351,7 @@
                                 "scores",
                                 snapshot.counter(Counts.SCORES),
                                 "wrong",
-                                snapshot.counter(Result.WRONG.counter()),
+                                snapshot.counter(ComparisonResult.WRONG.counter()),
                                 "epoch",
                                 parts.view().get().epoch());
                 if (stop) {
@@ -367,7 +367,7 @@
         if (map == null) {
             return;
         }
-        ShadowOrders had = orders;
+        ShadowPlan had = orders;
         List<Api.Member> members = parts.members().get();
         boolean sameMap = had != null && had.map().equals(map);
         Slice slice = sameMap ? had.slice() : new Slice(map.salt());
@@ -375,7 +375,7 @@
         ShardRing present =
                 had != null && members == ringMembers ? had.present() : ShardRing.of(members, parts.sizes());
         if (had == null || had.ring() != ring || had.present() != present) {
-            foretold = Spread.of(present, ring).words(members, parts.zones(), parts.kinds());
+            foretold = RingDifference.of(present, ring).describe(members, parts.zones(), parts.kinds());
         }
         ringMembers = members;
         boolean on = parts.view().get().majority() && state.stopped().isEmpty() && share() == 0;
@@ -383,7 +383,7 @@
         if (had != null && had.on() != on) {
             parts.history().write("shadow.on", "map", map.id(), "on", on ? 1 : 0);
         }
-        orders = new ShadowOrders(
+        orders = new ShadowPlan(
                 sameMap ? had.map() : map,
                 slice,
                 ring,
@@ -406,7 +406,7 @@
             return List.of("shadow: no candidate");
         }
         List<String> all = new ArrayList<>();
-        ShadowOrders now = orders;
+        ShadowPlan now = orders;
         FleetView view = parts.view().get();
         String how = !state.stopped().isEmpty()
                 ? "stopped: " + state.stopped()
@@ -417,7 +417,7 @@
                                 : "on";
         all.add("shadow: candidate " + state.id() + " " + how + ", slice " + map.slice() + " of 10000, heard of "
                 + state.routersHeard() + " of " + parts.config().members().size() + " routers, epoch " + view.epoch());
-        all.add("shadow verdict: " + state.verdict(view.majority()).words());
+        all.add("shadow verdict: " + state.verdict(view.majority()).describe());
         StringBuilder sums = new StringBuilder("shadow counts:");
         state.sums()
                 .forEach((name, n) -> sums.append(' ').append(name).append('=').append(n));
@@ -427,7 +427,7 @@
             all.add("shadow foretells: " + foretold);
         }
         if (promotion != null) {
-            all.add(promotion.words() + (wish.isEmpty() ? "" : " (" + wish + ")"));
+            all.add(promotion.describe() + (wish.isEmpty() ? "" : " (" + wish + ")"));
         }
         return all;
     }
--- a/router/src/main/java/stagepier/shadow/ShadowState.java
+++ b/router/src/main/java/stagepier/shadow/ShadowState.java
@@ -62,7 +62,7 @@
 
     private boolean take(RouterCounts counts) {
         return merged.take(counts)
-                && counts.counter(Result.WRONG.counter()) > 0
+                && counts.counter(ComparisonResult.WRONG.counter()) > 0
                 && stop("wrong answers, seen by " + counts.router());
     }
 
--- a/router/src/main/java/stagepier/shadow/ShardRing.java
+++ b/router/src/main/java/stagepier/shadow/ShardRing.java
@@ -56,8 +56,8 @@
     }
 
     /** As the module takes it, for keys whose place is below the share. */
-    Api.Promoted promoted(Slice slice, int share) {
-        return new Api.Promoted() {
+    Api.PromotedRing promoted(Slice slice, int share) {
+        return new Api.PromotedRing() {
             @Override
             public boolean holds(long key) {
                 return slice.holds(key, share);
--- a/router/src/main/java/stagepier/shadow/Verdict.java
+++ b/router/src/main/java/stagepier/shadow/Verdict.java
@@ -27,7 +27,7 @@
         NOT_ENOUGH;
 
         /** In words, as staff read it. */
-        public String words() {
+        public String describe() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
@@ -87,14 +87,14 @@
     }
 
     /** For staff: the verdict, and by how much slower answers are. */
-    public String words() {
+    public String describe() {
         if (Double.isInfinite(low)) {
-            return kind.words() + " (" + copies + " copies compared)";
+            return kind.describe() + " (" + copies + " copies compared)";
         }
         return String.format(
                 Locale.ROOT,
                 "%s (%d copies, time %+.1f%%, between %+.1f%% and %+.1f%%)",
-                kind.words(),
+                kind.describe(),
                 copies,
                 percent(mean),
                 percent(low),
--- a/router/src/main/java/stagepier/tasks/LiveBox.java
+++ b/router/src/main/java/stagepier/tasks/LiveMailbox.java
@@ -10,7 +10,7 @@
 /**
  * A box without locks, so that the event loop never waits for a task that is being descheduled. Many may put, one task takes.
  */
-final class LiveBox<T> implements Box<T> {
+final class LiveMailbox<T> implements Mailbox<T> {
     private final int bound;
     private final Queue<T> things = new ConcurrentLinkedQueue<>();
     /** Places taken: taken before a thing is put in, given back after it was taken out, so never too few. */
@@ -19,7 +19,7 @@
     private final AtomicLong dropped = new AtomicLong();
     private volatile Thread taker;
 
-    LiveBox(int bound) {
+    LiveMailbox(int bound) {
         this.bound = bound;
     }
 
--- a/router/src/main/java/stagepier/tasks/LiveTasks.java
+++ b/router/src/main/java/stagepier/tasks/LiveTasks.java
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public <T> Box<T> box(int bound) {
-        return new LiveBox<>(bound);
+    public <T> Mailbox<T> mailbox(int bound) {
+        return new LiveMailbox<>(bound);
     }
 
     @Override
--- a/router/src/main/java/stagepier/tasks/Box.java
+++ b/router/src/main/java/stagepier/tasks/Mailbox.java
@@ -7,7 +7,7 @@
  *
  * @param <T> what is handed over; immutable, for two threads hold it
  */
-public interface Box<T> {
+public interface Mailbox<T> {
     /**
      * Never waits, so that the event loop may call it.
      *
--- a/router/src/main/java/stagepier/tasks/Tasks.java
+++ b/router/src/main/java/stagepier/tasks/Tasks.java
@@ -36,7 +36,7 @@
      *
      * @param bound things that lie in it at the most; what is put in beyond that is dropped and counted
      */
-    <T> Box<T> box(int bound);
+    <T> Mailbox<T> mailbox(int bound);
 
     /** Interrupts every wait; every task has ended, or is given up with a log line, within 2 s. */
     void stop();
--- a/router/src/test/java/stagepier/ColdFleet.java
+++ b/router/src/test/java/stagepier/ColdFleet.java
@@ -168,7 +168,7 @@
         public void watchMembers() {}
 
         @Override
-        public void note(String text) {}
+        public void logMessage(String text) {}
     }
 
     private interface Answered {
--- a/router/src/test/java/stagepier/EmbeddingExampleTest.java
+++ b/router/src/test/java/stagepier/EmbeddingExampleTest.java
@@ -81,7 +81,7 @@
         public void watchMembers() {}
 
         @Override
-        public void note(String text) {}
+        public void logMessage(String text) {}
     }
 
     @Test
--- a/router/src/test/java/stagepier/ManyRoutersTest.java
+++ b/router/src/test/java/stagepier/ManyRoutersTest.java
@@ -144,7 +144,7 @@
                 dues.add(new Due(f.now + t.delay(), router, t.token()));
             }
             for (; gossiped[router] < f.host.told.size(); gossiped[router]++) {
-                List<Api.News> news = f.host.told.get(gossiped[router]);
+                List<Api.ServerReport> news = f.host.told.get(gossiped[router]);
                 for (int i = 0; i < ROUTERS; i++) {
                     if (i != router) {
                         tell(i, router, news);
@@ -153,7 +153,7 @@
             }
         }
 
-        void tell(int to, int from, List<Api.News> news) {
+        void tell(int to, int from, List<Api.ServerReport> news) {
             messages++;
             Fixture f = all.get(to);
             f.now = Math.max(f.now, now);
@@ -258,8 +258,8 @@
     @Test
     void onePeerAloneIsNotBelieved() {
         Routers routers = new Routers((server, now, random) -> good(random), true);
-        List<Api.News> lies = Fixture.fleet(SERVERS, 0).stream()
-                .map(m -> new Api.News(m.id(), 0, true))
+        List<Api.ServerReport> lies = Fixture.fleet(SERVERS, 0).stream()
+                .map(m -> new Api.ServerReport(m.id(), 0, true))
                 .toList();
         for (int i = 0; i < 40; i++) {
             routers.play(0.1);
@@ -277,24 +277,24 @@
         Fixture f = Fixture.through(10);
         f.warm(500);
         long owner = f.serve(0, 5);
-        tell(f, new Api.Elsewhere(owner, 30, 0));
+        tell(f, new Api.PeerTotals(owner, 30, 0));
         long next = f.serve(0, 5);
         assertTrue(next != owner, "the owner has thirty in flight from others");
-        tell(f, new Api.Elsewhere(owner, 30, 0), new Api.Elsewhere(next, 40, 0));
+        tell(f, new Api.PeerTotals(owner, 30, 0), new Api.PeerTotals(next, 40, 0));
         assertEquals(owner, f.serve(0, 5), "both are busy, the owner less");
-        tell(f, new Api.Elsewhere(owner, 40, 0), new Api.Elsewhere(next, 30, 0));
+        tell(f, new Api.PeerTotals(owner, 40, 0), new Api.PeerTotals(next, 30, 0));
         assertEquals(next, f.serve(0, 5), "both are busy, the next less");
-        tell(f, Api.Elsewhere.nothing(owner), Api.Elsewhere.nothing(next));
+        tell(f, Api.PeerTotals.none(owner), Api.PeerTotals.none(next));
         assertEquals(owner, f.serve(0, 5), "nothing is told any more");
     }
 
     /** What others report of these servers is this from now on, and nothing of any other. */
-    private static void tell(Fixture f, Api.Elsewhere... sums) {
-        Map<Long, Api.Elsewhere> all = new HashMap<>();
-        for (Api.Elsewhere sum : sums) {
+    private static void tell(Fixture f, Api.PeerTotals... sums) {
+        Map<Long, Api.PeerTotals> all = new HashMap<>();
+        for (Api.PeerTotals sum : sums) {
             all.put(sum.server(), sum);
         }
-        f.host.others = server -> all.getOrDefault(server, Api.Elsewhere.nothing(server));
+        f.host.others = server -> all.getOrDefault(server, Api.PeerTotals.none(server));
         f.policy.onPeers(f.now, all.keySet());
     }
 
@@ -304,15 +304,15 @@
         Fixture f = Fixture.through(10);
         f.warm(500);
         long owner = f.serve(0, 5);
-        tell(f, new Api.Elsewhere(owner, 30, 3));
-        assertTrue(f.policy.spares(f.now, owner));
+        tell(f, new Api.PeerTotals(owner, 30, 3));
+        assertTrue(f.policy.avoidsOptionalLoad(f.now, owner));
         long next = f.serve(0, 5);
         assertTrue(next != owner, "three others have a circuit open against the owner");
         f.members(false, List.of(Fixture.member(owner, Api.MemberState.GONE, 0)));
-        tell(f, new Api.Elsewhere(owner, 30, 0));
+        tell(f, new Api.PeerTotals(owner, 30, 0));
         f.members(false, List.of(Fixture.member(owner, Api.MemberState.READY, 0)));
         assertEquals(next, f.serve(0, 5), "the owner is back, and has thirty in flight from others");
-        tell(f, Api.Elsewhere.nothing(owner));
+        tell(f, Api.PeerTotals.none(owner));
         assertEquals(owner, f.serve(0, 5));
     }
 
@@ -322,8 +322,8 @@
         Fixture f = Fixture.through(10);
         f.warm(500);
         long owner = f.serve(0, 5);
-        Api.Elsewhere[] sums = new Api.Elsewhere[10];
-        Arrays.setAll(sums, i -> new Api.Elsewhere(i + 1, i + 1 == owner ? 140 : 100, 0));
+        Api.PeerTotals[] sums = new Api.PeerTotals[10];
+        Arrays.setAll(sums, i -> new Api.PeerTotals(i + 1, i + 1 == owner ? 140 : 100, 0));
         tell(f, sums);
         assertTrue(f.serve(0, 5) != owner, "140 are more than 104 and one and a half deviations of 10");
         f.host.othersWeight = 16;
--- a/router/src/test/java/stagepier/RandomStreamTest.java
+++ b/router/src/test/java/stagepier/RandomStreamTest.java
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public void note(String text) {
+        public void logMessage(String text) {
             log.append("n ").append(text).append('\n');
         }
     }
--- a/router/src/test/java/stagepier/ScriptedHost.java
+++ b/router/src/test/java/stagepier/ScriptedHost.java
@@ -22,9 +22,9 @@
     int watches;
     int closes;
     /** What was told to other balancers, each time. */
-    final List<List<Api.News>> told = new ArrayList<>();
+    final List<List<Api.ServerReport>> told = new ArrayList<>();
     /** What others report. */
-    LongFunction<Api.Elsewhere> others = Api.Elsewhere::nothing;
+    LongFunction<Api.PeerTotals> others = Api.PeerTotals::none;
 
     double othersWeight = 1;
     final StringBuilder log = new StringBuilder();
@@ -89,22 +89,22 @@
     }
 
     @Override
-    public void tellPeers(List<Api.News> news) {
+    public void reportToPeers(List<Api.ServerReport> news) {
         told.add(news);
     }
 
     @Override
-    public Api.Elsewhere elsewhere(long server) {
+    public Api.PeerTotals peerTotals(long server) {
         return others.apply(server);
     }
 
     @Override
-    public double elsewhereWeight() {
+    public double peerWeight() {
         return othersWeight;
     }
 
     @Override
-    public void note(String text) {
+    public void logMessage(String text) {
         log.append("note ").append(text).append('\n');
     }
 
--- a/router/src/test/java/stagepier/adapter/AdapterTest.java
+++ b/router/src/test/java/stagepier/adapter/AdapterTest.java
@@ -256,8 +256,8 @@
     void absentSettingsHaveTheirDocumentedMeaning() {
         var s = SettingsParser.parse("{" + CLASSES + "}").settings();
         assertEquals(1, s.balancers());
-        assertEquals(0.5, s.classes().get(0).aim());
-        assertEquals(1.0, s.classes().get(1).aim(), "without an aim, the deadline is the aim");
+        assertEquals(0.5, s.classes().get(0).target());
+        assertEquals(1.0, s.classes().get(1).target(), "without an aim, the deadline is the aim");
         assertEquals(stagepier.Api.WeightMeaning.NONE, s.weights());
         assertEquals(stagepier.Api.Fetching.THROUGH, s.fetching());
         assertTrue(s.tenants().isEmpty());
--- a/router/src/test/java/stagepier/adapter/TwoCustomersTest.java
+++ b/router/src/test/java/stagepier/adapter/TwoCustomersTest.java
@@ -190,11 +190,11 @@
             ModuleHost credit =
                     new ModuleHost(loop, new Clock(), new LoopDelay(), SettingsParser.parse(Customers.CREDIT));
             for (String name : List.of("article", "article-list", "article-list-edit")) {
-                assertEquals(null, pages.objection(command(name)));
-                assertEquals("unknown class", credit.objection(command(name)));
+                assertEquals(null, pages.rejection(command(name)));
+                assertEquals("unknown class", credit.rejection(command(name)));
             }
-            assertEquals(null, credit.objection(command("score")));
-            assertEquals("unknown class", pages.objection(command("score")));
+            assertEquals(null, credit.rejection(command("score")));
+            assertEquals("unknown class", pages.rejection(command("score")));
         } finally {
             loop.shutdownGracefully();
         }
--- a/router/src/test/java/stagepier/app/CrossingFixture.java
+++ b/router/src/test/java/stagepier/app/CrossingFixture.java
@@ -16,8 +16,8 @@
 import stagepier.Api;
 import stagepier.client.ClientListener;
 import stagepier.exchange.Clock;
-import stagepier.exchange.EventsAdapter;
 import stagepier.exchange.ModuleHost;
+import stagepier.exchange.NoOpEvents;
 import stagepier.overload.LoopDelay;
 import stagepier.server.HoldableConnector;
 import stagepier.server.ServerPools;
@@ -97,7 +97,7 @@
     }
 
     /** Sends each request once to the one server, and gives up what has failed. */
-    private final class Module extends EventsAdapter {
+    private final class Module extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request r) {
             asked.add(r.id());
--- a/router/src/test/java/stagepier/app/LateTakenValueTest.java
+++ b/router/src/test/java/stagepier/app/LateTakenValueTest.java
@@ -56,12 +56,12 @@
             Rehearsal.write(link[0], "x".repeat(50_000) + "\r\n");
             link[0].shutdownOutput();
             assertEquals(-1, link[0].getInputStream().read(), "the router has seen the end, and given its side back");
-            assertFalse(flow.isBroken(), "cut off");
+            assertFalse(flow.isFailed(), "cut off");
             while (taken < LENGTH) {
                 taken += take(p, flow);
             }
             p.onLoop(() -> null);
-            assertTrue(flow.isWhole());
+            assertTrue(flow.isComplete());
             p.awaitServerLinks(0);
         }
     }
@@ -77,7 +77,7 @@
             int taken = take(p, flow);
             assertEquals(50_000, taken);
             p.awaitServerLinks(0);
-            assertTrue(flow.isBroken());
+            assertTrue(flow.isFailed());
         }
     }
 }
--- a/router/src/test/java/stagepier/app/ShadowWorkTest.java
+++ b/router/src/test/java/stagepier/app/ShadowCoordinatorTest.java
@@ -31,8 +31,8 @@
 import stagepier.exchange.Clock;
 import stagepier.exchange.ModuleHost;
 import stagepier.exchange.Reply;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.FleetView;
 import stagepier.fleet.Message;
 import stagepier.freeze.Calendar;
@@ -46,7 +46,7 @@
 
 /** The shadow over sockets and threads, at one router with two cache servers. */
 @Timeout(60)
-class ShadowWorkTest {
+class ShadowCoordinatorTest {
     private static final String SETTINGS = """
             {"Classes":[{"Name":"read","Deadline":5,"Repeat":"idempotent"}],"Areas":["a"],"Flavors":["m"],
             "Limits":{"MaxAttempts":3}}""";
@@ -68,16 +68,16 @@
     /** Answers that hold no value, by their kind. */
     private final Map<Reply.Kind, Integer> unserved = new ConcurrentHashMap<>();
 
-    private static final Calls NOBODY = new Calls() {
+    private static final FleetRpc NOBODY = new FleetRpc() {
         @Override
-        public void answer(String part, Answerer answerer) {}
+        public void answer(String part, Handler answerer) {}
 
         @Override
         public void start() {}
 
         @Override
-        public Message call(String member, Message message, Duration most) throws SilentException {
-            throw new SilentException("nobody is there");
+        public Message call(String member, Message message, Duration most) throws NoReplyException {
+            throw new NoReplyException("nobody is there");
         }
     };
 
@@ -118,10 +118,10 @@
                     0,
                     settings.streams());
             host.connect(new RoutingPolicy(settings.settings(), 1, host), pools);
-            ShadowWork work = on(
+            ShadowCoordinator work = on(
                     loop,
-                    () -> new ShadowWork(
-                            new ShadowWork.Fleet(
+                    () -> new ShadowCoordinator(
+                            new ShadowCoordinator.Fleet(
                                     tasks,
                                     NOBODY,
                                     config,
@@ -130,7 +130,7 @@
                                     () -> Calendar.NONE,
                                     null,
                                     (event, values) -> {}),
-                            new ShadowWork.Own(loop, clock, settings, 400, host, new Pressure(), drain)));
+                            new ShadowCoordinator.Own(loop, clock, settings, 400, host, new Pressure(), drain)));
             on(loop, () -> {
                 List<HostGroup.Host> hosts = List.of(host("s-00000001", 1, one), host("s-00000002", 2, two));
                 hosts.forEach(h -> pools.ready(h.member().id(), h.address(), 0));
@@ -175,7 +175,7 @@
     }
 
     /** Sums as the lines for staff have them. */
-    private static long count(ShadowWork work, String counter) {
+    private static long count(ShadowCoordinator work, String counter) {
         return work.part().status().stream()
                 .filter(l -> l.startsWith("shadow counts:"))
                 .flatMap(l -> List.of(l.split(" ")).stream())
@@ -206,7 +206,7 @@
         assertTrue(answered.await(5, TimeUnit.SECONDS));
     }
 
-    private static int links(EventLoop loop, ShadowWork work) {
+    private static int links(EventLoop loop, ShadowCoordinator work) {
         int[] links = new int[1];
         try {
             on(loop, () -> {
--- a/router/src/test/java/stagepier/app/ShadowFleetLiveTest.java
+++ b/router/src/test/java/stagepier/app/ShadowFleetLiveTest.java
@@ -150,7 +150,7 @@
         Files.writeString(folder.resolve("candidate.toml"), CANDIDATE.replace("slice = 10000", "slice = 0"));
         Path fleet = fleet(1, 2, 3);
         Config config = config(StandInAgent.known(), 1, 1, 1, "n0", fleet);
-        Config.BadConfigException e = assertThrows(Config.BadConfigException.class, () -> new Router(config));
+        Config.InvalidConfigException e = assertThrows(Config.InvalidConfigException.class, () -> new Router(config));
         assertTrue(
                 e.getMessage().endsWith("candidate.toml: line 2: key slice: must lie between 1.0 and 10000.0"),
                 e.getMessage());
--- a/router/src/test/java/stagepier/app/TopologyGateTest.java
+++ b/router/src/test/java/stagepier/app/TopologyGateTest.java
@@ -24,7 +24,7 @@
 
     @BeforeEach
     void gate() {
-        group.holdBy(new TopologyGate(
+        group.setAdmission(new TopologyGate(
                 new TopologyGate.Holder() {
                     @Override
                     public boolean offer(Change change, Runnable later) {
