--- a/router/src/test/java/stagepier/bans/BansTest.java
+++ b/router/src/test/java/stagepier/bans/BansTest.java
@@ -22,7 +22,7 @@
         assertFalse(bans.take(new Ban("a", true, 10)), "no news");
         assertTrue(bans.take(new Ban("a", false, 12)));
         assertFalse(bans.take(new Ban("a", true, 11)), "said before");
-        assertFalse(bans.isOut("a"));
+        assertFalse(bans.isBanned("a"));
         assertEquals(12, bans.backSince("a"));
         assertTrue(bans.stamp("a", 11.5) > 12, "a clock that is a little behind does not make it old");
     }
@@ -34,7 +34,7 @@
         bans.take(new Ban("b", false, 10));
         assertEquals(List.of(), bans.forget(10 + Bans.BACK_REMEMBERED));
         assertEquals(List.of(new Ban("b", false, 10)), bans.forget(1000));
-        assertTrue(bans.isOut("a"));
+        assertTrue(bans.isBanned("a"));
         assertEquals(1, bans.out());
     }
 
@@ -42,18 +42,18 @@
     void whatOneProcessKeepsAnotherReadsWholeAndOnlyOnce() throws Exception {
         BanFiles one = new BanFiles(shared);
         BanFiles other = new BanFiles(shared);
-        assertEquals(List.of(), other.news(), "there is no folder yet");
+        assertEquals(List.of(), other.readChanges(), "there is no folder yet");
         double stamp = new Bans().stamp("s-1/x", 1764616000.123456789);
         Ban ban = new Ban("s-1/x", true, stamp);
-        one.keep(ban);
-        assertEquals(List.of(ban), other.news());
+        one.save(ban);
+        assertEquals(List.of(ban), other.readChanges());
         Ban back = new Ban("s-1/x", false, stamp + 1);
-        other.keep(back);
-        assertEquals(List.of(back), new BanFiles(shared).news(), "the later one has taken its place");
-        one.drop(ban);
-        assertEquals(List.of(back), new BanFiles(shared).news(), "another process has said something since");
-        one.drop(back);
-        assertEquals(List.of(), new BanFiles(shared).news());
+        other.save(back);
+        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "the later one has taken its place");
+        one.delete(ban);
+        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "another process has said something since");
+        one.delete(back);
+        assertEquals(List.of(), new BanFiles(shared).readChanges());
     }
 
     @Test
@@ -61,20 +61,22 @@
         BanFiles files = new BanFiles(shared);
         Path blocked = Files.createFile(shared.resolve("stagepier-bans-1"));
         Ban ban = new Ban("a", true, 10);
-        assertFalse(files.keep(ban));
-        assertFalse(files.keep(new Ban("b", true, 10)));
+        assertFalse(files.save(ban));
+        assertFalse(files.save(new Ban("b", true, 10)));
         Files.delete(blocked);
         Ban newer = new Ban("b", false, 11);
-        new BanFiles(shared).keep(newer);
-        files.news();
+        new BanFiles(shared).save(newer);
+        files.readChanges();
         assertEquals(
-                Set.of(ban, newer), Set.copyOf(new BanFiles(shared).news()), "the newer one of another process stays");
+                Set.of(ban, newer),
+                Set.copyOf(new BanFiles(shared).readChanges()),
+                "the newer one of another process stays");
     }
 
     @Test
     void whatIsTornOrForeignIsIgnored() throws Exception {
         BanFiles files = new BanFiles(shared);
-        files.keep(new Ban("good", true, 5));
+        files.save(new Ban("good", true, 5));
         Path folder;
         try (var all = Files.list(shared)) {
             folder = all.findFirst().orElseThrow();
@@ -85,6 +87,6 @@
         Files.writeString(folder.resolve("renamed.ban"), "stagepier ban 1 out 17.000000 other\n");
         Files.write(folder.resolve("large.ban"), new byte[100_000]);
         Files.createDirectory(folder.resolve("folder.ban"));
-        assertEquals(List.of(new Ban("good", true, 5)), files.news());
+        assertEquals(List.of(new Ban("good", true, 5)), files.readChanges());
     }
 }
--- a/router/src/test/java/stagepier/client/SendAwayTest.java
+++ b/router/src/test/java/stagepier/client/SendAwayTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stagepier.Api;
 import stagepier.drain.Drain;
-import stagepier.exchange.EventsAdapter;
-import stagepier.exchange.HandClock;
+import stagepier.exchange.ManualClock;
 import stagepier.exchange.ModuleHost;
-import stagepier.exchange.TransportAdapter;
+import stagepier.exchange.NoOpEvents;
+import stagepier.exchange.NoOpTransport;
 import stagepier.invariants.Invariant;
 import stagepier.overload.LoopDelay;
 import stagepier.settings.SettingsParser;
@@ -43,14 +43,14 @@
             "Obligations":{"DrainGrace":1}}""";
 
     /** Requests wait until the test answers them. */
-    private final class WaitingModule extends EventsAdapter {
+    private final class WaitingModule extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request request) {
             requests.add(request.id());
         }
     }
 
-    private final HandClock clock = new HandClock();
+    private final ManualClock clock = new ManualClock();
     private final Queue<Long> requests = new ArrayDeque<>();
     private final Drain drain = new Drain();
     private final EmbeddedChannel time = new EmbeddedChannel();
@@ -63,7 +63,7 @@
         time.freezeTime();
         LoopDelay delay = new LoopDelay();
         host = new ModuleHost(time.eventLoop(), clock, delay, SettingsParser.parse(SETTINGS));
-        host.connect(new WaitingModule(), new TransportAdapter() {});
+        host.connect(new WaitingModule(), new NoOpTransport() {});
         clients = new ClientListener(time.eventLoop(), clock, delay, PLACES, host, () -> "END", drain);
         client = new EmbeddedChannel(adopting());
         drain.started();
--- a/router/src/test/java/stagepier/console/LineFormTest.java
+++ b/router/src/test/java/stagepier/console/ConsoleProtocolTest.java
@@ -10,18 +10,18 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-class LineFormTest {
-    private static String refusal(BadCallException e) {
-        return LineForm.answer(Operations.Result.no(e.getMessage()));
+class ConsoleProtocolTest {
+    private static String refusal(InvalidCommandException e) {
+        return ConsoleProtocol.answer(Operations.Result.no(e.getMessage()));
     }
 
     @Test
-    void eachCallIsUnderstoodWhateverSpaceIsAroundIt() throws BadCallException {
-        assertEquals(new ConsoleCommand.Status(), LineForm.parse("STATUS\r"));
-        assertEquals(new ConsoleCommand.Pause(), LineForm.parse("  PAUSE "));
-        assertEquals(new ConsoleCommand.Resume(), LineForm.parse("RESUME"));
-        assertEquals(new ConsoleCommand.Suspend("s-5be2a07c"), LineForm.parse("SUSPEND \t s-5be2a07c\r"));
-        assertEquals(new ConsoleCommand.Restore("other/name"), LineForm.parse("RESTORE other/name"));
+    void eachCallIsUnderstoodWhateverSpaceIsAroundIt() throws InvalidCommandException {
+        assertEquals(new ConsoleCommand.Status(), ConsoleProtocol.parse("STATUS\r"));
+        assertEquals(new ConsoleCommand.Pause(), ConsoleProtocol.parse("  PAUSE "));
+        assertEquals(new ConsoleCommand.Resume(), ConsoleProtocol.parse("RESUME"));
+        assertEquals(new ConsoleCommand.Suspend("s-5be2a07c"), ConsoleProtocol.parse("SUSPEND \t s-5be2a07c\r"));
+        assertEquals(new ConsoleCommand.Restore("other/name"), ConsoleProtocol.parse("RESTORE other/name"));
     }
 
     @Test
@@ -36,7 +36,7 @@
                 "GET / HTTP/1.1",
                 "SUSPEND \u0001",
                 "RESTORE " + "x".repeat(129))) {
-            String said = refusal(assertThrows(BadCallException.class, () -> LineForm.parse(line), line));
+            String said = refusal(assertThrows(InvalidCommandException.class, () -> ConsoleProtocol.parse(line), line));
             assertTrue(said.startsWith("ERR ") && said.indexOf("\r\n") == said.length() - 2, said);
         }
     }
@@ -45,8 +45,8 @@
     @Property(seed = "31", tries = 500)
     void garbageIsNeverMoreThanABadCall(@ForAll @StringLength(max = 40) String garbage) {
         try {
-            LineForm.parse(garbage);
-        } catch (BadCallException e) {
+            ConsoleProtocol.parse(garbage);
+        } catch (InvalidCommandException e) {
             assertEquals(1, refusal(e).lines().count());
         }
     }
--- a/router/src/test/java/stagepier/discovery/StartTimesTest.java
+++ b/router/src/test/java/stagepier/discovery/StartTimesTest.java
@@ -5,14 +5,14 @@
 import com.google.gson.JsonParser;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stagepier.exchange.HandClock;
+import stagepier.exchange.ManualClock;
 import stagepier.settings.SettingsParser;
 
 /** The age of a cache server where the wall clock was stepped before this process began. */
 class StartTimesTest {
     private static final double HOUR = 3600;
 
-    private final HandClock clock = new HandClock();
+    private final ManualClock clock = new ManualClock();
     private final double began = clock.now();
     private final HostGroup group =
             new HostGroup(new SettingsParser.Names(List.of("c"), List.of(), List.of("a"), List.of("m")), clock);
--- a/router/src/test/java/stagepier/drain/DrainTest.java
+++ b/router/src/test/java/stagepier/drain/DrainTest.java
@@ -15,10 +15,10 @@
     void aPauseSaysNoAtOnceAndSendsLinksAwayStepByStep() {
         assertFalse(drain.isReady());
         drain.started();
-        assertTrue(drain.isReady() && drain.saysYes());
+        assertTrue(drain.isReady() && drain.reportsAlive());
         assertEquals(Phase.NONE, drain.phase(9));
         assertTrue(drain.pause(10));
-        assertFalse(drain.isReady() || drain.saysYes());
+        assertFalse(drain.isReady() || drain.reportsAlive());
         assertEquals(Phase.LINGER, drain.phase(10.2));
         assertEquals(Phase.LEAVE, drain.phase(10.5));
         assertEquals(Phase.LAST, drain.phase(11.5));
@@ -34,7 +34,7 @@
             drain.pause(10);
             drain.phase(10 + at);
             assertTrue(drain.resume() && drain.resume());
-            assertTrue(drain.isReady() && drain.saysYes());
+            assertTrue(drain.isReady() && drain.reportsAlive());
             assertEquals(Phase.NONE, drain.phase(10 + at));
         }
     }
@@ -51,7 +51,7 @@
     void anEndServesOnForAWhileAndIsNotTakenBack() {
         drain.started();
         drain.end(10, false);
-        assertTrue(drain.saysYes());
+        assertTrue(drain.reportsAlive());
         assertFalse(drain.isReady());
         assertEquals(Phase.LINGER, drain.phase(10.6));
         assertEquals(Phase.LAST, drain.phase(10.8));
@@ -65,17 +65,17 @@
     @Test
     void linksOfClientsThatGoOnSendingAreEndedBeforeTheTimeOfAPauseIsOver() {
         drain.started();
-        assertEquals(Double.POSITIVE_INFINITY, drain.goneBy());
+        assertEquals(Double.POSITIVE_INFINITY, drain.idleCloseDeadline());
         drain.pause(10);
         drain.pause(13);
-        assertEquals(14, drain.goneBy(), "said again, it is not put off");
-        assertFalse(drain.turnsAway(11.8), "it can be answered in time");
-        assertTrue(drain.turnsAway(12));
-        assertFalse(drain.closesAll(13.3));
-        assertTrue(drain.closesAll(13.5));
+        assertEquals(14, drain.idleCloseDeadline(), "said again, it is not put off");
+        assertFalse(drain.rejectsRequests(11.8), "it can be answered in time");
+        assertTrue(drain.rejectsRequests(12));
+        assertFalse(drain.closesAllLinks(13.3));
+        assertTrue(drain.closesAllLinks(13.5));
         drain.resume();
-        assertFalse(drain.closesAll(13.5));
-        assertEquals(Double.POSITIVE_INFINITY, drain.goneBy());
+        assertFalse(drain.closesAllLinks(13.5));
+        assertEquals(Double.POSITIVE_INFINITY, drain.idleCloseDeadline());
     }
 
     @Test
@@ -83,15 +83,15 @@
         Drain shortDeadlines = new Drain(0.4);
         shortDeadlines.started();
         shortDeadlines.end(10, false);
-        assertEquals(11.1, shortDeadlines.goneBy(), 1e-9);
-        assertFalse(shortDeadlines.closesAll(10.69), "it still serves");
-        assertTrue(shortDeadlines.closesAll(10.71));
+        assertEquals(11.1, shortDeadlines.idleCloseDeadline(), 1e-9);
+        assertFalse(shortDeadlines.closesAllLinks(10.69), "it still serves");
+        assertTrue(shortDeadlines.closesAllLinks(10.71));
         Drain longDeadlines = new Drain(9);
         longDeadlines.started();
         longDeadlines.end(10, true);
-        assertEquals(13.7, longDeadlines.goneBy(), 1e-9);
-        assertFalse(longDeadlines.closesAll(13));
-        assertTrue(longDeadlines.closesAll(13.2));
+        assertEquals(13.7, longDeadlines.idleCloseDeadline(), 1e-9);
+        assertFalse(longDeadlines.closesAllLinks(13));
+        assertTrue(longDeadlines.closesAllLinks(13.2));
     }
 
     @Test
@@ -99,14 +99,14 @@
         drain.started();
         drain.pause(10);
         drain.end(11, false);
-        assertFalse(drain.saysYes());
+        assertFalse(drain.reportsAlive());
         Drain ending = new Drain();
         ending.started();
         ending.end(10, false);
         ending.pause(10.1);
-        assertFalse(ending.saysYes());
+        assertFalse(ending.reportsAlive());
         assertFalse(ending.resume(), "a process that ends does not come back");
-        assertFalse(ending.saysYes());
+        assertFalse(ending.reportsAlive());
     }
 
     @Test
@@ -114,9 +114,9 @@
         drain.started();
         drain.pause(10);
         drain.end(13.3, false);
-        assertEquals(14, drain.goneBy());
+        assertEquals(14, drain.idleCloseDeadline());
         assertEquals(Phase.LEAVE, drain.phase(13.5));
-        assertTrue(drain.closesAll(13.5));
+        assertTrue(drain.closesAllLinks(13.5));
     }
 
     @Test
@@ -125,12 +125,12 @@
         drain.end(10, true);
         double at = 10;
         for (int links = 100; links > 0; links--) {
-            double next = drain.nextIn(at, links);
+            double next = drain.nextCloseIn(at, links);
             assertTrue(next > 0 && next < 0.01, next + " s to the next");
             at += next;
         }
         assertTrue(at < 10.55, "the last one left at " + at);
-        assertEquals(0, drain.nextIn(10.6, 5), "late: at once");
+        assertEquals(0, drain.nextCloseIn(10.6, 5), "late: at once");
     }
 
     @Test
--- a/router/src/test/java/stagepier/exchange/HandClock.java
+++ b/router/src/test/java/stagepier/exchange/ManualClock.java
@@ -1,7 +1,7 @@
 package stagepier.exchange;
 
 /** A clock that stands until a test moves it on, so that no verdict depends on how long the machine takes. */
-public final class HandClock extends Clock {
+public final class ManualClock extends Clock {
     private volatile double now = 1e9;
 
     @Override
--- a/router/src/test/java/stagepier/exchange/ModuleHostTest.java
+++ b/router/src/test/java/stagepier/exchange/ModuleHostTest.java
@@ -35,7 +35,7 @@
     private final List<Reply> replies = new ArrayList<>();
 
     /** Sends each request twice and writes down what comes of it. */
-    private class Module extends EventsAdapter {
+    private class Module extends NoOpEvents {
         private boolean inside;
 
         @Override
@@ -74,7 +74,7 @@
     /** A server side on which every send ends at once. */
     private void take(String line, Api.Outcome outcome) throws MalformedException {
         AtomicInteger cancels = new AtomicInteger();
-        host.connect(new Module(), new TransportAdapter() {
+        host.connect(new Module(), new NoOpTransport() {
             @Override
             public Transmission send(Exchange x, int attempt, long server, double timeout) {
                 host.ended(x, attempt, server, outcome, 0, ResponseInfo.NONE, new byte[0]);
@@ -105,7 +105,7 @@
     void afterAStandStillTheModuleIsToldTheListsInOrderAndOnlyThenWhatElseHappened() throws Exception {
         List<Runnable> waiting = new ArrayList<>();
         host.connectList(waiting::add);
-        delay.looks(clock.now() - 0.6);
+        delay.onPoll(clock.now() - 0.6);
         take("mg k v Oa Pc=c,d=900\r\n", Api.Outcome.OK);
         assertEquals(List.of(), events);
         assertEquals(true, host.mustWaitForList(() -> events.add("sent")));
@@ -182,7 +182,7 @@
     }
 
     /** A server side on which nothing answers, and an execution that woke late looks once more before its time is up. */
-    private final class Silent extends TransportAdapter {
+    private final class Silent extends NoOpTransport {
         @Override
         public Transmission send(Exchange x, int attempt, long server, double timeout) {
             loop.schedule(
--- a/router/src/test/java/stagepier/exchange/EventsAdapter.java
+++ b/router/src/test/java/stagepier/exchange/NoOpEvents.java
@@ -4,7 +4,7 @@
 import stagepier.Api;
 
 /** A decision module that decides nothing; tests override what they are about. */
-public abstract class EventsAdapter implements Api.Events {
+public abstract class NoOpEvents implements Api.Events {
     @Override
     public void onMembers(double now, boolean complete, List<Api.Member> members) {}
 
--- a/router/src/test/java/stagepier/exchange/TransportAdapter.java
+++ b/router/src/test/java/stagepier/exchange/NoOpTransport.java
@@ -1,7 +1,7 @@
 package stagepier.exchange;
 
 /** A server side that sends nothing; tests override what they are about. */
-public abstract class TransportAdapter implements ServerTransport {
+public abstract class NoOpTransport implements ServerTransport {
     @Override
     public Transmission send(Exchange exchange, int attempt, long server, double timeout) {
         throw new AssertionError("a request was sent");
--- a/router/src/test/java/stagepier/fleet/FleetConfigReaderTest.java
+++ b/router/src/test/java/stagepier/fleet/FleetConfigReaderTest.java
@@ -54,7 +54,7 @@
     @MethodSource("bad")
     void tellsFileLineAndKeyInOneLine(Bad bad) throws IOException {
         Path file = Files.writeString(folder.resolve("fleet.toml"), bad.text());
-        String told = assertThrows(BadFleetException.class, () -> FleetConfigReader.read(file, "a"))
+        String told = assertThrows(InvalidFleetFileException.class, () -> FleetConfigReader.read(file, "a"))
                 .getMessage();
         String expected = file + ": line " + bad.line() + ": key " + bad.key() + ": " + bad.wrong();
         assertTrue(told.startsWith(expected), () -> told + "\n instead of\n" + expected);
@@ -79,7 +79,7 @@
     private static void assertTold(Path file, String told) {
         assertEquals(
                 file + ": " + told,
-                assertThrows(BadFleetException.class, () -> FleetConfigReader.read(file, "r-1"))
+                assertThrows(InvalidFleetFileException.class, () -> FleetConfigReader.read(file, "r-1"))
                         .getMessage());
     }
 
@@ -104,14 +104,14 @@
 
     @ParameterizedTest
     @MethodSource("good")
-    void takesWhatIsGood(String text) throws IOException, BadFleetException {
+    void takesWhatIsGood(String text) throws IOException, InvalidFleetFileException {
         FleetConfig config = FleetConfigReader.read(Files.writeString(folder.resolve("fleet.toml"), text), "a");
         assertEquals("a", config.self());
         assertTrue(config.members().containsKey("a"));
     }
 
     @Test
-    void readsEveryKey() throws IOException, BadFleetException {
+    void readsEveryKey() throws IOException, InvalidFleetFileException {
         Path file = Files.writeString(folder.resolve("fleet.toml"), """
                 listen = "127.0.0.1:9000"
                 lease_ms = 1000
@@ -141,7 +141,7 @@
 
     /** Addresses may differ from router to router, all else may not. */
     @Test
-    void theHashTellsAnotherFleetButNotAnotherAddress() throws IOException, BadFleetException {
+    void theHashTellsAnotherFleetButNotAnotherAddress() throws IOException, InvalidFleetFileException {
         String hash = hash(fleetOf(3));
         assertEquals(16, hash.length());
         assertEquals(hash, hash("listen = \"127.0.0.1:9\"\n" + fleetOf(3).replace("10.0.0.1", "10.0.0.2")));
@@ -150,13 +150,13 @@
         assertNotEquals(hash, hash("skew_ms = 1999\n" + fleetOf(3)));
     }
 
-    private String hash(String text) throws IOException, BadFleetException {
+    private String hash(String text) throws IOException, InvalidFleetFileException {
         return FleetConfigReader.read(Files.writeString(folder.resolve("fleet.toml"), text), "r-1")
                 .hash();
     }
 
     @Test
-    void hasDefaultsAndTakesTheLargestFleetAndTheExample() throws IOException, BadFleetException {
+    void hasDefaultsAndTakesTheLargestFleetAndTheExample() throws IOException, InvalidFleetFileException {
         Path file = Files.writeString(folder.resolve("fleet.toml"), fleetOf(FleetConfigReader.MOST_MEMBERS));
         FleetConfig config = FleetConfigReader.read(file, "r-1000");
         assertEquals(Duration.ofSeconds(3), config.lease());
--- a/router/src/test/java/stagepier/fleet/MemberTableTest.java
+++ b/router/src/test/java/stagepier/fleet/MemberTableTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import stagepier.fleet.FleetView.Facts;
 import stagepier.fleet.FleetView.State;
-import stagepier.fleet.MembershipMessages.News;
+import stagepier.fleet.MembershipMessages.MemberUpdate;
 
 @Timeout(20)
 class MemberTableTest {
@@ -40,15 +40,15 @@
         return new MemberTable(config, incarnation, NOW, new Random(1));
     }
 
-    private static News news(String name, long incarnation, State state) {
-        return new News(
+    private static MemberUpdate news(String name, long incarnation, State state) {
+        return new MemberUpdate(
                 name, incarnation, state.ordinal(), List.of(), incarnation, new Facts("1", "hash", incarnation, 0, 0));
     }
 
     /** News may come twice, late and in any order: all routers come to hold the same. */
     @Test
     void theOrderOfNewsDoesNotMatter() {
-        List<News> all = new ArrayList<>();
+        List<MemberUpdate> all = new ArrayList<>();
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             for (State state : State.values()) {
                 all.add(news("b", incarnation, state));
@@ -132,11 +132,11 @@
         MemberTable table = table(100);
         table.changedView();
         table.apply("b", new ArrayList<>(Collections.singletonList(null)), NOW);
-        table.apply("b", new News(null, 1, 0, null, 0, null), NOW);
-        table.apply("b", new News("stranger", 1, 0, null, 0, null), NOW);
-        table.apply("b", new News("c", -1, 0, null, 0, null), NOW);
-        table.apply("b", new News("c", 1, 9, null, 0, null), NOW);
-        table.apply("b", new News("c", 1, -1, null, 0, null), NOW);
+        table.apply("b", new MemberUpdate(null, 1, 0, null, 0, null), NOW);
+        table.apply("b", new MemberUpdate("stranger", 1, 0, null, 0, null), NOW);
+        table.apply("b", new MemberUpdate("c", -1, 0, null, 0, null), NOW);
+        table.apply("b", new MemberUpdate("c", 1, 9, null, 0, null), NOW);
+        table.apply("b", new MemberUpdate("c", 1, -1, null, 0, null), NOW);
         assertEquals(null, table.changedView());
     }
 }
--- a/router/src/test/java/stagepier/fleet/MemoryNet.java
+++ b/router/src/test/java/stagepier/fleet/SimulatedNetwork.java
@@ -7,13 +7,13 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 
 /**
  * Calls between processes of a {@link VirtualWorld}: late, lost, cut one way or both, at random from the world's seed. Each message
  * goes through its written form. Like a stream, what one says to another arrives in order.
  */
-public final class MemoryNet {
+public final class SimulatedNetwork {
     private static final Gson GSON = new Gson();
 
     private final VirtualWorld world;
@@ -25,7 +25,7 @@
     private double mostDelay = 0.014;
     private double loss;
 
-    public MemoryNet(VirtualWorld world) {
+    public SimulatedNetwork(VirtualWorld world) {
         this.world = world;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** The calls of a process that starts now; whatever was on its way to an earlier one of that name is lost. */
-    public Calls calls(VirtualWorld.Node node) {
+    public FleetRpc calls(VirtualWorld.Node node) {
         return new Door(node);
     }
 
@@ -93,22 +93,22 @@
 
     private static String written(Message message) {
         String text = GSON.toJson(message);
-        if (text.getBytes(StandardCharsets.UTF_8).length > Calls.LONGEST) {
+        if (text.getBytes(StandardCharsets.UTF_8).length > FleetRpc.MAX_MESSAGE_BYTES) {
             throw new IllegalArgumentException("a message of " + text.length() + " characters: " + message.kind());
         }
         return text;
     }
 
-    private final class Door implements Calls {
+    private final class Door implements FleetRpc {
         private final VirtualWorld.Node node;
-        private final Map<String, Answerer> answerers = new HashMap<>();
+        private final Map<String, Handler> answerers = new HashMap<>();
 
         Door(VirtualWorld.Node node) {
             this.node = node;
         }
 
         @Override
-        public void answer(String part, Answerer answerer) {
+        public void answer(String part, Handler answerer) {
             answerers.put(part, answerer);
         }
 
@@ -119,23 +119,23 @@
 
         @Override
         public Message call(String member, Message message, Duration most)
-                throws SilentException, InterruptedException {
+                throws NoReplyException, InterruptedException {
             String text = written(message);
-            Box<String> reply = node.box(1);
+            Mailbox<String> reply = node.mailbox(1);
             Door door = doors.get(member);
             if (door != null && !node.isDead()) {
                 carry(node.name(), door.node, () -> door.heard(this, text, reply));
             }
             String said = reply.take(most);
             if (said == null) {
-                throw new SilentException(member + " said nothing to " + message.kind());
+                throw new NoReplyException(member + " said nothing to " + message.kind());
             }
             return GSON.fromJson(said, Message.class);
         }
 
-        private void heard(Door caller, String text, Box<String> reply) {
+        private void heard(Door caller, String text, Mailbox<String> reply) {
             Message call = GSON.fromJson(text, Message.class);
-            Answerer answerer = answerers.get(call.part());
+            Handler answerer = answerers.get(call.part());
             try {
                 if (answerer != null) {
                     String said = written(answerer.answer(caller.node.name(), call));
--- a/router/src/test/java/stagepier/fleet/TcpCallsTest.java
+++ b/router/src/test/java/stagepier/fleet/TcpFleetRpcTest.java
@@ -30,7 +30,7 @@
 import stagepier.tasks.LiveTasks;
 
 @Timeout(30)
-class TcpCallsTest {
+class TcpFleetRpcTest {
     private static final Duration MOST = Duration.ofSeconds(5);
 
     private final SortedMap<String, InetSocketAddress> members = new TreeMap<>();
@@ -38,11 +38,11 @@
 
     private final class Process {
         private final LiveTasks tasks = new LiveTasks(Clock.systemUTC());
-        private final TcpCalls calls;
+        private final TcpFleetRpc calls;
         private final CountDownLatch held = new CountDownLatch(1);
 
         Process(String name) {
-            calls = new TcpCalls(
+            calls = new TcpFleetRpc(
                     tasks,
                     new FleetConfig(
                             Path.of("fleet.toml"),
@@ -79,7 +79,7 @@
                 try {
                     said[0] = say(to, text);
                     return true;
-                } catch (Calls.SilentException e) {
+                } catch (FleetRpc.NoReplyException e) {
                     return false;
                 }
             });
@@ -118,10 +118,10 @@
         Process b = new Process("b");
         assertEquals("a>b:x", a.sayUntilHeard("b", "x"));
         assertEquals("b>a:y\n\u00e9", b.sayUntilHeard("a", "y\n\u00e9"));
-        String large = "z".repeat(Calls.LONGEST - 100);
+        String large = "z".repeat(FleetRpc.MAX_MESSAGE_BYTES - 100);
         assertEquals("a>b:" + large, a.say("b", large));
-        assertThrows(IllegalArgumentException.class, () -> a.say("b", "z".repeat(Calls.LONGEST + 100)));
-        assertThrows(Calls.SilentException.class, () -> a.calls.call("b", Message.of("other.say", 1), MOST));
+        assertThrows(IllegalArgumentException.class, () -> a.say("b", "z".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100)));
+        assertThrows(FleetRpc.NoReplyException.class, () -> a.calls.call("b", Message.of("other.say", 1), MOST));
         assertThrows(IllegalArgumentException.class, () -> a.say("a", "to itself"));
         assertEquals("a>b:again", a.say("b", "again"));
     }
@@ -145,7 +145,7 @@
                         if (!said.equals("a>b:" + text)) {
                             wrong.add(said);
                         }
-                    } catch (Calls.SilentException | Message.MalformedException e) {
+                    } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
                         wrong.add(String.valueOf(e));
                     }
                 }
@@ -175,7 +175,7 @@
             })
     void garbageClosesThatLinkAndIsCounted(String said) throws Exception {
         Process a = new Process("a");
-        assertShutOut(said.equals("LONG") ? "x".repeat(Calls.LONGEST + 100) : said);
+        assertShutOut(said.equals("LONG") ? "x".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100) : said);
         until(() -> a.calls.garbage() == 1);
         assertEquals(0, a.calls.strangers());
         assertEquals("b>a:x", new Process("b").sayUntilHeard("a", "x"));
@@ -233,7 +233,7 @@
         Process a = new Process("a");
         assertEquals("a>b:x", a.sayUntilHeard("b", "x"));
         assertThrows(
-                Calls.SilentException.class,
+                FleetRpc.NoReplyException.class,
                 () -> a.calls.call("c", Message.of("test.say", "x"), Duration.ofMillis(300)));
         until(() -> b.calls.strangers() > 0);
     }
@@ -245,7 +245,7 @@
         a.sayUntilHeard("b", "x");
         before.tasks.stop();
         assertThrows(
-                Calls.SilentException.class,
+                FleetRpc.NoReplyException.class,
                 () -> a.calls.call("b", Message.of("test.say", "x"), Duration.ofMillis(300)));
         new Process("b");
         assertEquals("a>b:y", a.sayUntilHeard("b", "y"));
@@ -260,7 +260,7 @@
         a.sayUntilHeard("c", "x");
         long began = System.nanoTime();
         assertThrows(
-                Calls.SilentException.class,
+                FleetRpc.NoReplyException.class,
                 () -> a.calls.call("b", Message.of("test.hold", "x"), Duration.ofMillis(100)));
         assertTrue(System.nanoTime() - began < 3_000_000_000L);
         assertEquals("a>c:x", a.say("c", "x"));
@@ -273,11 +273,11 @@
             still.bind(members.get("b"));
             Process a = new Process("a");
             until(() -> a.calls.status().startsWith("fleet_links open=1 "));
-            String large = "z".repeat(Calls.LONGEST - 100);
+            String large = "z".repeat(FleetRpc.MAX_MESSAGE_BYTES - 100);
             long began = System.nanoTime();
             for (int i = 0; i < 200; i++) {
                 assertThrows(
-                        Calls.SilentException.class,
+                        FleetRpc.NoReplyException.class,
                         () -> a.calls.call("b", Message.of("test.say", large), Duration.ofMillis(1)));
             }
             assertTrue(System.nanoTime() - began < 10_000_000_000L);
--- a/router/src/test/java/stagepier/fleet/ViewFleet.java
+++ b/router/src/test/java/stagepier/fleet/ViewFleet.java
@@ -24,7 +24,7 @@
     }
 
     final VirtualWorld world;
-    final MemoryNet net;
+    final SimulatedNetwork net;
     final List<String> names = new ArrayList<>();
     private final SortedMap<String, InetSocketAddress> addresses = new TreeMap<>();
     private final Map<String, Process> processes = new HashMap<>();
@@ -45,7 +45,7 @@
 
         Process(String name, Duration wallOff) {
             node = world.node(name, wallOff);
-            Calls calls = net.calls(node);
+            FleetRpc calls = net.calls(node);
             membership = new Membership(
                     node,
                     calls,
@@ -87,7 +87,7 @@
 
     ViewFleet(int size, long seed) {
         world = new VirtualWorld(seed);
-        net = new MemoryNet(world);
+        net = new SimulatedNetwork(world);
         for (int i = 0; i < size; i++) {
             String name = String.format(Locale.ROOT, "r%03d", i);
             names.add(name);
--- a/router/src/test/java/stagepier/fleet/VirtualWorld.java
+++ b/router/src/test/java/stagepier/fleet/VirtualWorld.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import stagepier.tasks.Box;
+import stagepier.tasks.Mailbox;
 import stagepier.tasks.Tasks;
 
 /**
@@ -313,12 +313,12 @@
         }
 
         @Override
-        public <T> Box<T> box(int bound) {
+        public <T> Mailbox<T> mailbox(int bound) {
             return new VirtualBox<>(this, bound);
         }
     }
 
-    private final class VirtualBox<T> implements Box<T> {
+    private final class VirtualBox<T> implements Mailbox<T> {
         private final Node node;
         private final int bound;
         private final ArrayDeque<T> things = new ArrayDeque<>();
--- a/router/src/test/java/stagepier/fleet/VirtualWorldTest.java
+++ b/router/src/test/java/stagepier/fleet/VirtualWorldTest.java
@@ -20,13 +20,13 @@
     private static List<String> history(long seed) {
         List<String> lines = new ArrayList<>();
         try (VirtualWorld world = new VirtualWorld(seed)) {
-            MemoryNet net = new MemoryNet(world);
+            SimulatedNetwork net = new SimulatedNetwork(world);
             net.loss(0.1);
             List<VirtualWorld.Node> nodes = new ArrayList<>();
             for (String name : List.of("a", "b", "c")) {
                 VirtualWorld.Node node = world.node(name, Duration.ZERO);
                 nodes.add(node);
-                Calls calls = net.calls(node);
+                FleetRpc calls = net.calls(node);
                 calls.answer("test", (from, call) -> Message.of("test.heard", name + call.body()));
                 calls.start();
                 node.start("caller", () -> {
@@ -37,7 +37,7 @@
                                 said = calls.call(other, Message.of("test.say", i), ms(50))
                                         .body()
                                         .toString();
-                            } catch (Calls.SilentException e) {
+                            } catch (FleetRpc.NoReplyException e) {
                                 said = "silent";
                             }
                             lines.add(world.seconds() + " " + name + " " + other + " " + said);
--- a/router/src/test/java/stagepier/freeze/AgreedTextsTest.java
+++ b/router/src/test/java/stagepier/freeze/AgreedSequenceTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
-import stagepier.fleet.MemoryNet;
+import stagepier.fleet.FleetRpc;
+import stagepier.fleet.SimulatedNetwork;
 import stagepier.fleet.VirtualWorld;
 
 /** A second sequence beside the calendar, in virtual time. */
 @Timeout(60)
-class AgreedTextsTest {
+class AgreedSequenceTest {
     private static final List<String> NAMES = List.of("n0", "n1", "n2", "n3", "n4");
 
     private final VirtualWorld world = new VirtualWorld(1);
-    private final MemoryNet net = new MemoryNet(world);
+    private final SimulatedNetwork net = new SimulatedNetwork(world);
     private final TreeMap<String, VirtualWorld.Node> nodes = new TreeMap<>();
-    private final TreeMap<String, AgreedTexts> texts = new TreeMap<>();
+    private final TreeMap<String, AgreedSequence> texts = new TreeMap<>();
     private final List<String> events = new ArrayList<>();
     private long seed;
 
@@ -37,9 +37,9 @@
         FleetConfig config = new FleetConfig(
                 null, "", name, members.get(name), members, null, Duration.ofSeconds(3), Duration.ofSeconds(2), null);
         VirtualWorld.Node node = world.node(name, Duration.ZERO);
-        Calls calls = net.calls(node);
-        AgreedTexts agreed =
-                new AgreedTexts("promotion", node, calls, config, (event, values) -> events.add(event), ++seed);
+        FleetRpc calls = net.calls(node);
+        AgreedSequence agreed =
+                new AgreedSequence("promotion", node, calls, config, (event, values) -> events.add(event), ++seed);
         agreed.start();
         calls.start();
         nodes.put(name, node);
--- a/router/src/test/java/stagepier/freeze/AgreementTest.java
+++ b/router/src/test/java/stagepier/freeze/AgreementTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import stagepier.fleet.Calls;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.Message;
 import stagepier.fleet.VirtualWorld;
 
@@ -37,7 +37,7 @@
                         Message said =
                                 fleet.net.calls(other).call("r000", Message.of(RegisterRequest.CONFIRM, ask), ms(500));
                         whole.add(said.read(RegisterResponse.class).whole());
-                    } catch (Calls.SilentException | Message.MalformedException e) {
+                    } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
                         throw new IllegalStateException(e);
                     }
                 }
--- a/router/src/test/java/stagepier/freeze/LiveFleetTest.java
+++ b/router/src/test/java/stagepier/freeze/LiveFleetTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import stagepier.fleet.FleetConfig;
 import stagepier.fleet.History;
-import stagepier.fleet.TcpCalls;
+import stagepier.fleet.TcpFleetRpc;
 import stagepier.tasks.LiveTasks;
 
 /** The same code on threads and TCP: guards against what one task at a time cannot show. */
@@ -31,7 +31,7 @@
             + "rule = \"FREQ=DAILY\"\nduration = \"P2D\"\nscope = \"all\"\nreason = \"test\"\n";
 
     private final List<LiveTasks> tasks = new ArrayList<>();
-    private final List<FreezePart> parts = new ArrayList<>();
+    private final List<FreezeService> parts = new ArrayList<>();
 
     @AfterEach
     void stop() {
@@ -50,8 +50,8 @@
                 Duration.ofSeconds(3),
                 Duration.ofSeconds(2),
                 null);
-        TcpCalls calls = new TcpCalls(mine, config, 1);
-        FreezePart part = new FreezePart(mine, calls, config, History.NONE, self.hashCode());
+        TcpFleetRpc calls = new TcpFleetRpc(mine, config, 1);
+        FreezeService part = new FreezeService(mine, calls, config, History.NONE, self.hashCode());
         part.start();
         calls.start();
         tasks.add(mine);
@@ -70,7 +70,7 @@
         }
         assertTrue(
                 holds.getAsBoolean(),
-                () -> parts.stream().map(FreezePart::status).toList().toString());
+                () -> parts.stream().map(FreezeService::status).toList().toString());
     }
 
     @Test
@@ -96,7 +96,7 @@
         parts.get(3).reload();
         all(Calendar.Permit.FROZEN);
         assertTrue(parts.get(0).status().get(0).contains("by now"), parts.get(0).status()::toString);
-        assertEquals(1, parts.stream().map(FreezePart::version).distinct().count());
+        assertEquals(1, parts.stream().map(FreezeService::version).distinct().count());
         long before = System.nanoTime();
         tasks.get(0).stop();
         assertTrue(System.nanoTime() - before < Duration.ofSeconds(2).toNanos(), "a task does not end");
--- a/router/src/test/java/stagepier/freeze/VirtualFleet.java
+++ b/router/src/test/java/stagepier/freeze/VirtualFleet.java
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 import stagepier.fleet.FleetConfig;
 import stagepier.fleet.History;
-import stagepier.fleet.MemoryNet;
+import stagepier.fleet.SimulatedNetwork;
 import stagepier.fleet.VirtualWorld;
 
 /** A fleet with a calendar in virtual time: routers that are killed, stopped and restarted, and files that outlive them. */
@@ -48,7 +48,7 @@
         Windows file;
         Duration wallOff = Duration.ZERO;
         VirtualWorld.Node node;
-        FreezePart part;
+        FreezeService part;
         int life;
 
         Router(String name, Windows file) {
@@ -74,7 +74,7 @@
                     SKEW,
                     null);
             long seed = world.random().nextLong();
-            part = new FreezePart(
+            part = new FreezeService(
                     node,
                     calls,
                     config,
@@ -120,7 +120,7 @@
 
     Duration lease = Duration.ofSeconds(3);
     final VirtualWorld world;
-    final MemoryNet net;
+    final SimulatedNetwork net;
     final List<Router> routers = new ArrayList<>();
     final List<Event> events = new ArrayList<>();
     final List<Asked> asked = new ArrayList<>();
@@ -135,7 +135,7 @@
     VirtualFleet(long seed, int n, Windows file, Memory memory) {
         this.memory = memory;
         world = new VirtualWorld(seed);
-        net = new MemoryNet(world);
+        net = new SimulatedNetwork(world);
         IntStream.range(0, n)
                 .forEach(i -> addresses.put("r%03d".formatted(i), new InetSocketAddress("127.0.0.1", 1000 + i)));
         addresses.keySet().forEach(name -> routers.add(new Router(name, known(file))));
--- a/router/src/test/java/stagepier/link/PatientBindTest.java
+++ b/router/src/test/java/stagepier/link/RetryingBindTest.java
@@ -23,7 +23,7 @@
 
 /** A socket that is to be there whatever happens to it. */
 @Timeout(30)
-class PatientBindTest {
+class RetryingBindTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Channel> bound = new LinkedBlockingQueue<>();
@@ -51,7 +51,7 @@
     @Test
     void aSocketThatTheSystemRefusesIsTriedAgain() throws Exception {
         AtomicInteger refusals = new AtomicInteger(2);
-        PatientBind patient = new PatientBind(
+        RetryingBind patient = new RetryingBind(
                 loop,
                 () -> {
                     if (refusals.getAndDecrement() > 0) {
@@ -67,7 +67,7 @@
 
     @Test
     void aSocketThatAnErrorClosesIsBoundAnewAndOneThatIsStoppedIsNot() throws Exception {
-        PatientBind patient = new PatientBind(loop, this::bind, why -> {});
+        RetryingBind patient = new RetryingBind(loop, this::bind, why -> {});
         loop.execute(patient::start);
         Channel first = nextBound();
         first.close().sync();
--- a/router/src/test/java/stagepier/memcache/LoadReportFormatTest.java
+++ b/router/src/test/java/stagepier/memcache/LoadReportFormatTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 
 /** Load reports at the end of an answer's first line: read where they make sense, and never in the way of the answer. */
 class LoadReportFormatTest {
@@ -20,7 +20,7 @@
     private final LoadReportFormat format = new LoadReportFormat(List.of("inflight", "queue", "x1"));
 
     private List<Answer> parse(String text, long seed) throws MalformedException {
-        AnswerParser parser = new AnswerParser(new SharedRoom(1 << 20), format);
+        AnswerParser parser = new AnswerParser(new MemoryBudget(1 << 20), format);
         return Wire.parse(parser::next, text.getBytes(StandardCharsets.ISO_8859_1), seed);
     }
 
@@ -106,7 +106,7 @@
     @Test
     void whereServersReportNothingTheWordIsNotLookedAt() throws MalformedException {
         LoadReportFormat none = new LoadReportFormat(List.of());
-        AnswerParser parser = new AnswerParser(new SharedRoom(1 << 20), none);
+        AnswerParser parser = new AnswerParser(new MemoryBudget(1 << 20), none);
         byte[] text = "VA 2 Oa Lspoilt=\r\nhi\r\n".getBytes(StandardCharsets.ISO_8859_1);
         assertArrayEquals(NONE, Wire.parse(parser::next, text, 1).get(0).report());
         assertEquals(0, none.malformed());
--- a/router/src/test/java/stagepier/memcache/ParserTest.java
+++ b/router/src/test/java/stagepier/memcache/ParserTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import stagepier.overload.SharedRoom;
+import stagepier.overload.MemoryBudget;
 
 /** Random cuts of valid messages and random garbage, from fixed seeds. */
 class ParserTest {
@@ -109,7 +109,7 @@
     @Property(seed = "17", tries = 100)
     void largeValuesTakeSharedRoomAndGiveItBack(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int kind)
             throws MalformedException {
-        SharedRoom room = new SharedRoom(75_000);
+        MemoryBudget room = new MemoryBudget(75_000);
         byte[] large = Protocol.withValue("VA 60000 Oab h1", value(60_000));
         AnswerParser first = new AnswerParser(room);
         RingBuffer half = new RingBuffer();
@@ -130,7 +130,7 @@
         } else {
             // One alone always gets what it asks for.
             first.drop();
-            AnswerParser small = new AnswerParser(new SharedRoom(1000));
+            AnswerParser small = new AnswerParser(new MemoryBudget(1000));
             assertArrayEquals(
                     value(60_000), Wire.parse(small::next, large, seed).get(0).body());
             assertEquals(0, room.taken());
--- a/router/src/test/java/stagepier/overload/BacklogWaitTest.java
+++ b/router/src/test/java/stagepier/overload/BacklogWaitTest.java
@@ -12,25 +12,25 @@
 
     private void accept(int connections, double now) {
         for (int i = 0; i < connections; i++) {
-            wait.accepts();
+            wait.onAccepted();
         }
-        wait.rests(now);
+        wait.onBatchEnd(now);
     }
 
     @Test
     void aRowThatIsNotFullSaysThatNobodyWaits() {
         accept(BATCH - 1, 1);
         accept(BATCH, 2);
-        assertEquals(1, wait.cameAfter(3));
+        assertEquals(1, wait.earliestArrival(3));
     }
 
     @Test
     void aRowThatEndedBecauseAcceptFailedSaysNothing() {
         accept(BATCH - 1, 1);
         accept(1, 2);
-        wait.failed();
+        wait.onAcceptFailed();
         accept(0, 3);
-        wait.failed();
-        assertEquals(1, wait.cameAfter(4));
+        wait.onAcceptFailed();
+        assertEquals(1, wait.earliestArrival(4));
     }
 }
--- a/router/src/test/java/stagepier/overload/ConnectionSlotsTest.java
+++ b/router/src/test/java/stagepier/overload/ConnectionSlotsTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import stagepier.overload.ConnectionSlots.Availability;
 import stagepier.overload.ConnectionSlots.Behaviour;
-import stagepier.overload.ConnectionSlots.Level;
 
 class ConnectionSlotsTest {
     private static final int SLOTS = 200;
@@ -20,37 +20,37 @@
     void theShorterPlacesAreTheLessPatienceAndNeverWithOneThatIsOwedAnAnswer(
             @ForAll @IntRange(max = 400) int links, @ForAll @IntRange(max = 2000) int held) {
         ConnectionSlots slots = new ConnectionSlots(SLOTS, 1000);
-        Level less = slots.level(5, links, held);
-        Level more = slots.level(5, links + 1, held + 1);
+        Availability less = slots.level(5, links, held);
+        Availability more = slots.level(5, links + 1, held + 1);
         assertTrue(more.ordinal() >= less.ordinal(), less + " then " + more);
         for (Behaviour behaviour : Behaviour.values()) {
             assertTrue(
-                    ConnectionSlots.patience(behaviour, more) <= ConnectionSlots.patience(behaviour, less),
+                    ConnectionSlots.holdLimit(behaviour, more) <= ConnectionSlots.holdLimit(behaviour, less),
                     behaviour.name());
         }
-        assertEquals(Double.POSITIVE_INFINITY, ConnectionSlots.patience(Behaviour.OWED, Level.FULL));
-        for (Level level : Level.values()) {
+        assertEquals(Double.POSITIVE_INFINITY, ConnectionSlots.holdLimit(Behaviour.OWED, Availability.FULL));
+        for (Availability level : Availability.values()) {
             assertTrue(
-                    ConnectionSlots.patience(Behaviour.ONCE, level) >= 2,
+                    ConnectionSlots.holdLimit(Behaviour.ONCE, level) >= 2,
                     "idle links may be closed after 2 s, not sooner");
-            assertTrue(ConnectionSlots.patience(Behaviour.REGULAR, level)
-                    >= ConnectionSlots.patience(Behaviour.ONCE, level));
+            assertTrue(ConnectionSlots.holdLimit(Behaviour.REGULAR, level)
+                    >= ConnectionSlots.holdLimit(Behaviour.ONCE, level));
             // An error or a close is owed within 3 s, whenever it is looked at.
-            assertTrue(ConnectionSlots.patience(Behaviour.PART, level) + ConnectionSlots.lookAgain(level) < 2.5);
-            assertTrue(ConnectionSlots.patience(Behaviour.SLOW, level) >= 2.2, "a client may take 2 s for a command");
-            assertTrue(ConnectionSlots.patience(Behaviour.SLOW, level) + ConnectionSlots.lookAgain(level) < 3);
-            assertTrue(ConnectionSlots.patience(Behaviour.SILENT, level) + ConnectionSlots.lookAgain(level) < 2.5);
+            assertTrue(ConnectionSlots.holdLimit(Behaviour.PART, level) + ConnectionSlots.checkInterval(level) < 2.5);
+            assertTrue(ConnectionSlots.holdLimit(Behaviour.SLOW, level) >= 2.2, "a client may take 2 s for a command");
+            assertTrue(ConnectionSlots.holdLimit(Behaviour.SLOW, level) + ConnectionSlots.checkInterval(level) < 3);
+            assertTrue(ConnectionSlots.holdLimit(Behaviour.SILENT, level) + ConnectionSlots.checkInterval(level) < 2.5);
         }
     }
 
     @Property(seed = "22", tries = 1)
     void theyStayScarceForAWhileAfterTheyWereFull() {
         ConnectionSlots slots = new ConnectionSlots(SLOTS, 1000);
-        assertEquals(Level.FULL, slots.level(5, SLOTS, 0));
+        assertEquals(Availability.FULL, slots.level(5, SLOTS, 0));
         assertFalse(slots.hasSlot(SLOTS));
-        assertEquals(Level.SCARCE, slots.level(6.9, 3, 0));
-        assertEquals(Level.PLENTY, slots.level(7.1, 3, 0));
-        assertEquals(Level.TIGHT, slots.level(8, 3, 1000));
+        assertEquals(Availability.SCARCE, slots.level(6.9, 3, 0));
+        assertEquals(Availability.PLENTY, slots.level(7.1, 3, 0));
+        assertEquals(Availability.TIGHT, slots.level(8, 3, 1000));
         assertFalse(slots.hasMemory(1000));
     }
 
@@ -72,7 +72,7 @@
         double backlog = 0;
         double worst = 0;
         double look = 0;
-        Level level = Level.PLENTY;
+        Availability level = Availability.PLENTY;
         for (double now = 0; now < 20; now += 0.01) {
             backlog += perSecond * 0.01;
             while (backlog >= 1 && slots.hasSlot(held.size())) {
@@ -85,10 +85,10 @@
             worst = Math.max(worst, backlog / perSecond);
             if (now >= look || !slots.hasSlot(held.size())) {
                 level = slots.level(now, held.size(), 0);
-                Level at = level;
+                Availability at = level;
                 double when = now;
-                held.removeIf(h -> when - h.since() > ConnectionSlots.patience(h.behaviour(), at));
-                look = now + ConnectionSlots.lookAgain(level);
+                held.removeIf(h -> when - h.since() > ConnectionSlots.holdLimit(h.behaviour(), at));
+                look = now + ConnectionSlots.checkInterval(level);
             }
         }
         assertTrue(worst < 0.55, "waited " + worst + " s");
--- a/router/src/test/java/stagepier/overload/LoopDelayTest.java
+++ b/router/src/test/java/stagepier/overload/LoopDelayTest.java
@@ -12,8 +12,8 @@
     private final LoopDelay delay = new LoopDelay();
 
     private void turn(double looks, double reads) {
-        delay.looks(looks);
-        delay.reads(reads);
+        delay.onPoll(looks);
+        delay.onRead(reads);
     }
 
     @Test
@@ -25,27 +25,27 @@
 
     @Test
     void aLoopStoodStillIfItWasNotSeenForHalfASecondAndIsToldSoOnce() {
-        assertFalse(delay.stoodStill(5), "never seen");
-        delay.looks(5);
-        assertFalse(delay.stoodStill(5.4));
-        assertTrue(delay.stoodStill(5.6), "in the middle of a turn");
-        assertFalse(delay.stoodStill(5.7));
-        delay.beats(6.3);
-        delay.looks(6.31);
-        assertTrue(delay.stoodStill(6.32), "before this turn");
-        assertFalse(delay.stoodStill(6.33));
+        assertFalse(delay.hasStalled(5), "never seen");
+        delay.onPoll(5);
+        assertFalse(delay.hasStalled(5.4));
+        assertTrue(delay.hasStalled(5.6), "in the middle of a turn");
+        assertFalse(delay.hasStalled(5.7));
+        delay.onHeartbeat(6.3);
+        delay.onPoll(6.31);
+        assertTrue(delay.hasStalled(6.32), "before this turn");
+        assertFalse(delay.hasStalled(6.33));
     }
 
     /** What was told while a loop stood still leaves it half of the grace of its own settings, not of a second. */
     @Test
     void aLoopStoodStillAfterHalfOfAShortDrainGrace() {
         LoopDelay shortGrace = new LoopDelay(0.4);
-        shortGrace.looks(5);
-        assertFalse(shortGrace.stoodStill(5.19));
-        assertTrue(shortGrace.stoodStill(5.41));
+        shortGrace.onPoll(5);
+        assertFalse(shortGrace.hasStalled(5.19));
+        assertTrue(shortGrace.hasStalled(5.41));
         LoopDelay longGrace = new LoopDelay(3);
-        longGrace.looks(5);
-        assertTrue(longGrace.stoodStill(5.51), "no later than after half a second");
+        longGrace.onPoll(5);
+        assertTrue(longGrace.hasStalled(5.51), "no later than after half a second");
     }
 
     /** Guards against blaming a server for an answer that lay here while the loop was at work on something else. */
@@ -56,14 +56,14 @@
         turn(5.25, 5.2501);
         assertEquals(0.2505, delay.unreadFor(5.2506), EXACT);
         // Read later in the same turn: as old, and a little more.
-        delay.reads(5.26);
+        delay.onRead(5.26);
         assertEquals(0.2599, delay.unreadFor(5.26), EXACT);
     }
 
     @Test
     void whatALookWaitedForIsNew() {
         turn(5, 5.0001);
-        delay.beats(5.2);
+        delay.onHeartbeat(5.2);
         turn(5.2, 5.225);
         assertEquals(0, delay.unreadFor(5.225), EXACT);
         assertEquals(0.003, delay.unreadFor(5.228), EXACT);
@@ -81,17 +81,17 @@
     @Test
     void aLookThatOutlastsTheHeartbeatWasFrozen() {
         turn(5, 5.0001);
-        delay.beats(5.2);
+        delay.onHeartbeat(5.2);
         turn(5.2, 5.3);
-        assertEquals(0.1 - LoopDelay.BEAT, delay.unreadFor(5.3), EXACT);
-        delay.beats(5.3);
-        assertEquals(0.1 - LoopDelay.BEAT, delay.worst(), EXACT);
+        assertEquals(0.1 - LoopDelay.HEARTBEAT_INTERVAL, delay.unreadFor(5.3), EXACT);
+        delay.onHeartbeat(5.3);
+        assertEquals(0.1 - LoopDelay.HEARTBEAT_INTERVAL, delay.worst(), EXACT);
     }
 
     @Test
     void aTurnThatReadNothingCountsAsALook() {
         turn(5, 5.0001);
-        delay.looks(5.1);
+        delay.onPoll(5.1);
         turn(5.2, 5.2001);
         assertEquals(0.1001, delay.unreadFor(5.2001), EXACT);
     }
@@ -99,15 +99,15 @@
     @Test
     void theMeanFollowsAndForgets() {
         double now = 5;
-        delay.beats(now);
+        delay.onHeartbeat(now);
         for (int i = 0; i < 60; i++) {
-            now += LoopDelay.BEAT + 0.05;
-            delay.beats(now);
+            now += LoopDelay.HEARTBEAT_INTERVAL + 0.05;
+            delay.onHeartbeat(now);
         }
         assertEquals(0.05, delay.mean(), 0.001);
         for (int i = 0; i < 60; i++) {
-            now += LoopDelay.BEAT;
-            delay.beats(now);
+            now += LoopDelay.HEARTBEAT_INTERVAL;
+            delay.onHeartbeat(now);
         }
         assertTrue(delay.mean() < 0.001, delay.mean() + " s");
         assertEquals(0.05, delay.worst(), 1e-6);
--- a/router/src/test/java/stagepier/overload/PressureTest.java
+++ b/router/src/test/java/stagepier/overload/PressureTest.java
@@ -14,19 +14,19 @@
 
     @Property(seed = "41", tries = 1)
     void itRisesAtOnceAndFallsStepByStepAfterAWhile() {
-        assertFalse(pressure.isNow(5, 0.009));
-        assertTrue(pressure.isNow(5.02, 0.2));
-        assertTrue(pressure.isNow(5.04, 0.2));
+        assertFalse(pressure.update(5, 0.009));
+        assertTrue(pressure.update(5.02, 0.2));
+        assertTrue(pressure.update(5.04, 0.2));
         assertEquals(State.OVERLOADED, pressure.state());
-        assertFalse(pressure.isNow(6, 0.001));
-        assertFalse(pressure.isNow(6.9, 0.001));
-        assertTrue(pressure.isNow(7.0, 0.001));
+        assertFalse(pressure.update(6, 0.001));
+        assertFalse(pressure.update(6.9, 0.001));
+        assertTrue(pressure.update(7.0, 0.001));
         assertEquals(State.PRESSED, pressure.state());
-        assertFalse(pressure.isNow(7.1, 0.001));
-        assertTrue(pressure.isNow(8.2, 0.001));
+        assertFalse(pressure.update(7.1, 0.001));
+        assertTrue(pressure.update(8.2, 0.001));
         assertEquals(State.NORMAL, pressure.state());
-        assertFalse(pressure.isNow(20, 0.001));
-        assertEquals(16, pressure.acceptedInARow());
+        assertFalse(pressure.update(20, 0.001));
+        assertEquals(16, pressure.acceptBatch());
     }
 
     /** Guards against a trap: from any state it is back to normal within 3 s of calm, and it does not flutter. */
@@ -38,14 +38,14 @@
         int changes = 0;
         double from = now;
         while (now - from < 10) {
-            now += LoopDelay.BEAT;
-            changes += any.isNow(now, random.nextDouble() * 0.12) ? 1 : 0;
+            now += LoopDelay.HEARTBEAT_INTERVAL;
+            changes += any.update(now, random.nextDouble() * 0.12) ? 1 : 0;
         }
         assertTrue(changes < 14, changes + " changes in 10 s");
         from = now;
         while (now - from < 3) {
-            now += LoopDelay.BEAT;
-            any.isNow(now, 0);
+            now += LoopDelay.HEARTBEAT_INTERVAL;
+            any.update(now, 0);
         }
         assertEquals(State.NORMAL, any.state());
     }
--- a/router/src/test/java/stagepier/overload/SilenceTest.java
+++ b/router/src/test/java/stagepier/overload/SilenceDetectorTest.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class SilenceTest {
-    private final Silence silence = new Silence(1);
+class SilenceDetectorTest {
+    private final SilenceDetector silence = new SilenceDetector(1);
 
     private boolean isDead(double wait, int passedBy) {
         return silence.deadIn(wait, passedBy) <= 0;
@@ -58,7 +58,7 @@
 
     @Test
     void anAllowanceIsSpentAndComesBack() {
-        Allowance allowance = new Allowance(4, 2);
+        TokenBucket allowance = new TokenBucket(4, 2);
         assertTrue(allowance.spend(10) && allowance.spend(10));
         assertFalse(allowance.spend(10.2));
         assertTrue(allowance.spend(10.25));
@@ -68,16 +68,16 @@
 
     @Test
     void whoWaitsForRoomIsCalledInOrderAndOnlyOnce() {
-        SharedRoom room = new SharedRoom(100);
+        MemoryBudget room = new MemoryBudget(100);
         List<String> called = new ArrayList<>();
         assertTrue(room.take(80));
         assertFalse(room.take(30));
         room.await(() -> called.add("a"));
         room.await(() -> called.add("b"));
-        room.giveBack(0);
+        room.release(0);
         assertEquals(List.of(), called);
-        room.giveBack(80);
-        room.giveBack(0);
+        room.release(80);
+        room.release(0);
         assertEquals(List.of("a", "b"), called);
         assertEquals(2, room.waits());
     }
@@ -85,17 +85,17 @@
     @Test
     void aConnectionIsAsOldAsTheBacklogMayBe() {
         BacklogWait backlog = new BacklogWait(2);
-        assertEquals(7, backlog.cameAfter(7), "nothing is known");
-        backlog.accepts();
-        backlog.rests(7);
-        assertEquals(7, backlog.cameAfter(9));
-        backlog.accepts();
-        backlog.accepts();
-        backlog.rests(9);
-        assertEquals(7, backlog.cameAfter(9), "a whole row: more may be waiting");
-        backlog.rests(9.1);
-        assertEquals(9.1, backlog.cameAfter(9.2));
-        backlog.idle(12);
-        assertEquals(12, backlog.cameAfter(12.1));
+        assertEquals(7, backlog.earliestArrival(7), "nothing is known");
+        backlog.onAccepted();
+        backlog.onBatchEnd(7);
+        assertEquals(7, backlog.earliestArrival(9));
+        backlog.onAccepted();
+        backlog.onAccepted();
+        backlog.onBatchEnd(9);
+        assertEquals(7, backlog.earliestArrival(9), "a whole row: more may be waiting");
+        backlog.onBatchEnd(9.1);
+        assertEquals(9.1, backlog.earliestArrival(9.2));
+        backlog.onIdle(12);
+        assertEquals(12, backlog.earliestArrival(12.1));
     }
 }
--- a/router/src/test/java/stagepier/peers/NewsCodecTest.java
+++ b/router/src/test/java/stagepier/peers/PeerReportCodecTest.java
@@ -17,23 +17,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stagepier.Api;
 
-class NewsCodecTest {
-    private static List<Api.News> some(SplittableRandom random, int n) {
-        List<Api.News> news = new ArrayList<>();
+class PeerReportCodecTest {
+    private static List<Api.ServerReport> some(SplittableRandom random, int n) {
+        List<Api.ServerReport> news = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            news.add(new Api.News(random.nextLong(1L << 32), random.nextInt(128), random.nextBoolean()));
+            news.add(new Api.ServerReport(random.nextLong(1L << 32), random.nextInt(128), random.nextBoolean()));
         }
         return news;
     }
 
     @Property(seed = "17", tries = 200)
     void whatIsToldIsHeardAsFarAsAMessageHoldsIt(@ForAll long seed, @ForAll @IntRange(max = 90) int n) {
-        List<Api.News> news = some(new SplittableRandom(seed), n);
-        byte[] message = NewsCodec.encode(PeerReport.plain(news));
-        assertTrue(message.length <= NewsCodec.BYTES_MOST, message.length + " bytes");
+        List<Api.ServerReport> news = some(new SplittableRandom(seed), n);
+        byte[] message = PeerReportCodec.encode(PeerReport.plain(news));
+        assertTrue(message.length <= PeerReportCodec.BYTES_MOST, message.length + " bytes");
         assertEquals(
-                news.subList(0, Math.min(n, NewsCodec.ENTRIES_MOST)),
-                NewsCodec.decode(message).entries());
+                news.subList(0, Math.min(n, PeerReportCodec.ENTRIES_MOST)),
+                PeerReportCodec.decode(message).entries());
     }
 
     /**
@@ -42,43 +42,46 @@
      */
     @Test
     void aPlainReportHasTheBytesItAlwaysHad() {
-        byte[] message = NewsCodec.encode(PeerReport.plain(List.of(
-                new Api.News(0xfedcba98L, 2, true), new Api.News(7, 300, false), new Api.News(1L << 32, 1, true))));
+        byte[] message = PeerReportCodec.encode(PeerReport.plain(List.of(
+                new Api.ServerReport(0xfedcba98L, 2, true),
+                new Api.ServerReport(7, 300, false),
+                new Api.ServerReport(1L << 32, 1, true))));
         assertEquals("0102fedcba9882000000077f", HexFormat.of().formatHex(message));
         assertEquals(
-                PeerReport.plain(List.of(new Api.News(0xfedcba98L, 2, true), new Api.News(7, 127, false))),
-                NewsCodec.decode(message));
+                PeerReport.plain(
+                        List.of(new Api.ServerReport(0xfedcba98L, 2, true), new Api.ServerReport(7, 127, false))),
+                PeerReportCodec.decode(message));
     }
 
     /** The table in docs/many-routers.md. */
     @Test
     void aWeightedReportHasTheBytesOfThePage() {
-        PeerReport report =
-                new PeerReport(5, 4, 19.5, 240, List.of(new Api.News(7, 3, true), new Api.News(9, 1, false)));
-        byte[] message = NewsCodec.encode(report);
+        PeerReport report = new PeerReport(
+                5, 4, 19.5, 240, List.of(new Api.ServerReport(7, 3, true), new Api.ServerReport(9, 1, false)));
+        byte[] message = PeerReportCodec.encode(report);
         assertEquals(
                 "0202" + "05" + "0fa0" + "419c0000" + "00f0" + "0000000783" + "0000000901",
                 HexFormat.of().formatHex(message));
-        assertEquals(report, NewsCodec.decode(message));
+        assertEquals(report, PeerReportCodec.decode(message));
         assertEquals(240, report.sampled(), "one server of 240 without an open circuit is named");
     }
 
     @Property(seed = "20", tries = 200)
     void whatIsWeightedIsHeardAsFarAsAMessageHoldsIt(@ForAll long seed, @ForAll @IntRange(max = 90) int n) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Api.News> news = some(random, n);
+        List<Api.ServerReport> news = some(random, n);
         PeerReport report = new PeerReport(
                 random.nextInt(256), random.nextInt(1000, 4001) / 1e3, (float) random.nextDouble(1, 200), 100, news);
-        byte[] message = NewsCodec.encode(report);
-        assertTrue(message.length <= NewsCodec.BYTES_MOST, message.length + " bytes");
+        byte[] message = PeerReportCodec.encode(report);
+        assertTrue(message.length <= PeerReportCodec.BYTES_MOST, message.length + " bytes");
         assertEquals(
                 new PeerReport(
                         report.zone(),
                         report.window(),
                         report.weight(),
                         100,
-                        news.subList(0, Math.min(n, NewsCodec.ENTRIES_MOST_WEIGHTED))),
-                NewsCodec.decode(message));
+                        news.subList(0, Math.min(n, PeerReportCodec.ENTRIES_MOST_WEIGHTED))),
+                PeerReportCodec.decode(message));
     }
 
     /** A forged weight or window, and a server named twice in one message, make no report. */
@@ -99,25 +102,26 @@
     void whatCannotBeIsMalformed(String message) {
         assertThrows(
                 IllegalArgumentException.class,
-                () -> NewsCodec.decode(HexFormat.of().parseHex(message)));
+                () -> PeerReportCodec.decode(HexFormat.of().parseHex(message)));
     }
 
     /** Guards against a cut or strange datagram being taken in part. */
     @Property(seed = "18", tries = 300)
     void aCutMessageIsNone(@ForAll long seed, @ForAll @IntRange(min = 1, max = 50) int n) {
         SplittableRandom random = new SplittableRandom(seed);
-        byte[] whole = NewsCodec.encode(
+        byte[] whole = PeerReportCodec.encode(
                 random.nextBoolean()
                         ? PeerReport.plain(some(random, n))
-                        : new PeerReport(3, 2, 1.5, 60, some(random, Math.min(n, NewsCodec.ENTRIES_MOST_WEIGHTED))));
+                        : new PeerReport(
+                                3, 2, 1.5, 60, some(random, Math.min(n, PeerReportCodec.ENTRIES_MOST_WEIGHTED))));
         byte[] cut = java.util.Arrays.copyOf(whole, random.nextInt(whole.length));
-        assertThrows(IllegalArgumentException.class, () -> NewsCodec.decode(cut));
+        assertThrows(IllegalArgumentException.class, () -> PeerReportCodec.decode(cut));
     }
 
     @Property(seed = "19", tries = 500)
     void garbageIsRefusedOrIsAMessage(@ForAll @Size(max = 300) byte[] garbage) {
         try {
-            assertTrue(NewsCodec.decode(garbage).entries().size() <= NewsCodec.ENTRIES_MOST);
+            assertTrue(PeerReportCodec.decode(garbage).entries().size() <= PeerReportCodec.ENTRIES_MOST);
         } catch (IllegalArgumentException expected) {
             assertTrue(expected.getMessage().contains("bytes"));
         }
--- a/router/src/test/java/stagepier/peers/PeerSocketTest.java
+++ b/router/src/test/java/stagepier/peers/PeerSocketTest.java
@@ -23,7 +23,7 @@
 /** One router's socket against a stand-in router and a stranger, over loopback. */
 class PeerSocketTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final PeerReport REPORT = PeerReport.plain(List.of(new Api.News(7, 2, true)));
+    private static final PeerReport REPORT = PeerReport.plain(List.of(new Api.ServerReport(7, 2, true)));
 
     private static void send(DatagramSocket from, byte[] bytes, InetSocketAddress to) throws Exception {
         from.send(new DatagramPacket(bytes, bytes.length, to));
@@ -53,12 +53,12 @@
                     loop, new PeerSocket.Addresses(here, of(peer), routers, 0), (from, news) -> heard.add(news));
             socket.start();
             // Sent until one is received: the socket is bound in its own time.
-            loop.scheduleAtFixedRate(() -> socket.send(NewsCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
+            loop.scheduleAtFixedRate(() -> socket.send(PeerReportCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
             peer.receive(new DatagramPacket(new byte[1], 1));
             List<PeerReport> sent = new ArrayList<>();
             for (int server = 1; server <= 10; server++) {
-                sent.add(PeerReport.plain(List.of(new Api.News(server, server, false))));
-                send(peer, NewsCodec.encode(sent.get(server - 1)), here);
+                sent.add(PeerReport.plain(List.of(new Api.ServerReport(server, server, false))));
+                send(peer, PeerReportCodec.encode(sent.get(server - 1)), here);
             }
             // The loop looks for input at least once meanwhile.
             loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get(10, TimeUnit.SECONDS);
@@ -66,7 +66,7 @@
             loop.submit(socket::readBatch).get(10, TimeUnit.SECONDS);
             assertEquals(sent, List.copyOf(heard), "all in the turn of the event loop in which the batch is read");
             heard.clear();
-            send(peer, NewsCodec.encode(REPORT), here);
+            send(peer, PeerReportCodec.encode(REPORT), here);
             loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get(10, TimeUnit.SECONDS);
             assertTrue(heard.isEmpty(), "from then on not before the next batch again");
             loop.submit(socket::stop).get(10, TimeUnit.SECONDS);
@@ -92,16 +92,18 @@
                     (from, news) -> heard.add(Map.entry(from, news)));
             socket.start();
             // Told until heard: the socket is bound in its own time, and a datagram may be lost.
-            byte[] got = new byte[NewsCodec.BYTES_MOST + 1];
+            byte[] got = new byte[PeerReportCodec.BYTES_MOST + 1];
             DatagramPacket packet = new DatagramPacket(got, got.length);
-            group.next().scheduleAtFixedRate(() -> socket.send(NewsCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
+            group.next()
+                    .scheduleAtFixedRate(
+                            () -> socket.send(PeerReportCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
             peer.receive(packet);
-            assertEquals(REPORT, NewsCodec.decode(java.util.Arrays.copyOf(got, packet.getLength())));
+            assertEquals(REPORT, PeerReportCodec.decode(java.util.Arrays.copyOf(got, packet.getLength())));
 
-            send(stranger, NewsCodec.encode(REPORT), here);
+            send(stranger, PeerReportCodec.encode(REPORT), here);
             send(peer, new byte[] {9, 9}, here);
-            send(peer, new byte[NewsCodec.BYTES_MOST * 2], here);
-            send(peer, NewsCodec.encode(REPORT), here);
+            send(peer, new byte[PeerReportCodec.BYTES_MOST * 2], here);
+            send(peer, PeerReportCodec.encode(REPORT), here);
             assertEquals(Map.entry(1, REPORT), heard.poll(10, TimeUnit.SECONDS));
             Map<String, Long> counts = group.next()
                     .submit(() -> {
@@ -115,7 +117,7 @@
             assertEquals(2, counts.get("peer_messages_malformed"));
             assertEquals(1, counts.get("peer_messages_heard"));
             assertEquals(35 * counts.get("peer_messages_sent"), counts.get("peer_bytes_sent"));
-            assertEquals(35 + 30 + 28 + NewsCodec.BYTES_MOST + 1 + 35, counts.get("peer_bytes_heard"));
+            assertEquals(35 + 30 + 28 + PeerReportCodec.BYTES_MOST + 1 + 35, counts.get("peer_bytes_heard"));
             assertTrue(heard.isEmpty());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/router/src/test/java/stagepier/peers/PeerViewTest.java
+++ b/router/src/test/java/stagepier/peers/PeerViewTest.java
@@ -21,20 +21,20 @@
 class PeerViewTest {
     private final PeerView view = new PeerView(1900, 37);
 
-    private static Api.News news(long server, int inFlight, boolean open) {
-        return new Api.News(server, inFlight, open);
+    private static Api.ServerReport news(long server, int inFlight, boolean open) {
+        return new Api.ServerReport(server, inFlight, open);
     }
 
-    private static PeerReport plain(Api.News... entries) {
+    private static PeerReport plain(Api.ServerReport... entries) {
         return PeerReport.plain(List.of(entries));
     }
 
-    private static PeerReport weighted(int zone, double weight, Api.News... entries) {
+    private static PeerReport weighted(int zone, double weight, Api.ServerReport... entries) {
         return new PeerReport(zone, 4, weight, PeerReport.closed(List.of(entries)), List.of(entries));
     }
 
-    private static Api.Elsewhere sum(long server, int inFlight, int open) {
-        return new Api.Elsewhere(server, inFlight, open);
+    private static Api.PeerTotals sum(long server, int inFlight, int open) {
+        return new Api.PeerTotals(server, inFlight, open);
     }
 
     @Test
@@ -135,7 +135,7 @@
                 message[at + 4] |= (byte) 0x80;
             }
             try {
-                forged.take(10 + i / 10.0, 7, NewsCodec.decode(message));
+                forged.take(10 + i / 10.0, 7, PeerReportCodec.decode(message));
             } catch (IllegalArgumentException malformed) {
                 continue;
             }
@@ -159,7 +159,7 @@
             now += random.nextDouble(0.2);
             double then = now;
             int router = random.nextInt(30);
-            List<Api.News> entries = IntStream.range(0, 12)
+            List<Api.ServerReport> entries = IntStream.range(0, 12)
                     .filter(server -> random.nextInt(3) == 0)
                     .mapToObj(server -> news(server, random.nextInt(20), random.nextInt(5) == 0))
                     .toList();
@@ -170,8 +170,8 @@
                     PeerReport.closed(entries) + random.nextInt(5),
                     entries);
             Collection<Long> changed = incremental.take(now, router, report);
-            assertTrue(
-                    changed.containsAll(entries.stream().map(Api.News::server).toList()));
+            assertTrue(changed.containsAll(
+                    entries.stream().map(Api.ServerReport::server).toList()));
             last.put(router, report);
             at.put(router, now);
             last.keySet()
@@ -199,7 +199,7 @@
     @ValueSource(ints = {14, 100, 400, 1900})
     void takingAReportCostsItsOwnEntries(int routers) {
         PeerView of = new PeerView(routers, 37);
-        List<Api.News> entries = IntStream.range(0, 40)
+        List<Api.ServerReport> entries = IntStream.range(0, 40)
                 .mapToObj(server -> news(server, 1, false))
                 .toList();
         PeerReport report = new PeerReport(1, 4, 1, 40, entries);
--- a/router/src/test/java/stagepier/peers/ReportSamplerTest.java
+++ b/router/src/test/java/stagepier/peers/ReportSamplerTest.java
@@ -15,15 +15,15 @@
 class ReportSamplerTest {
     private final ReportSampler sampler = new ReportSampler(6);
 
-    private static List<Api.News> entries(int open, int all) {
+    private static List<Api.ServerReport> entries(int open, int all) {
         return IntStream.range(0, all)
-                .mapToObj(server -> new Api.News(server, 1, server < open))
+                .mapToObj(server -> new Api.ServerReport(server, 1, server < open))
                 .toList();
     }
 
     @Test
     void whatFitsGoesAsItIs() {
-        List<Api.News> entries = entries(3, 49);
+        List<Api.ServerReport> entries = entries(3, 49);
         assertSame(entries, sampler.choose(entries, 49));
     }
 
@@ -32,7 +32,7 @@
     void openCircuitsGoAlwaysAndAllOthersAlikeOften() {
         Map<Long, Integer> told = new HashMap<>();
         for (int i = 0; i < 4000; i++) {
-            List<Api.News> chosen = sampler.choose(entries(9, 209), 49);
+            List<Api.ServerReport> chosen = sampler.choose(entries(9, 209), 49);
             assertEquals(49, new HashSet<>(chosen).size());
             chosen.forEach(entry -> told.merge(entry.server(), 1, Integer::sum));
         }
@@ -48,8 +48,8 @@
     void moreOpenCircuitsThanFitTakeTurns() {
         Map<Long, Integer> told = new HashMap<>();
         for (int i = 0; i < 1000; i++) {
-            List<Api.News> chosen = sampler.choose(entries(98, 200), 49);
-            assertTrue(chosen.stream().allMatch(Api.News::open));
+            List<Api.ServerReport> chosen = sampler.choose(entries(98, 200), 49);
+            assertTrue(chosen.stream().allMatch(Api.ServerReport::open));
             chosen.forEach(entry -> told.merge(entry.server(), 1, Integer::sum));
         }
         IntStream.range(0, 98).forEach(server -> assertEquals(500, told.get((long) server), 90));
--- a/router/src/test/java/stagepier/peers/SampledFleet.java
+++ b/router/src/test/java/stagepier/peers/SampledFleet.java
@@ -144,7 +144,7 @@
                 routers,
                 zone,
                 List.of(new Api.RequestClass(
-                        Api.Repeat.SAFE, Api.Scope.CELL, 0, 0.5, PERIOD / Api.REPORTS_EVERY, 1, 0, false)),
+                        Api.Repeat.SAFE, Api.Scope.CELL, 0, 0.5, PERIOD / Api.REPORT_PERIOD_IN_DEADLINES, 1, 0, false)),
                 List.of(),
                 Api.WeightMeaning.NONE,
                 Api.Fetching.THROUGH,
@@ -162,11 +162,11 @@
      * What a module reports: its length is drawn at once, its entries only where they are asked for, for most are not
      * sent.
      */
-    private final class Report extends AbstractList<Api.News> {
+    private final class Report extends AbstractList<Api.ServerReport> {
         private final double mean;
         private final boolean open;
         private final int size;
-        private List<Api.News> entries;
+        private List<Api.ServerReport> entries;
 
         Report(double level, boolean open) {
             this.open = open;
@@ -182,26 +182,26 @@
         }
 
         @Override
-        public Api.News get(int i) {
+        public Api.ServerReport get(int i) {
             if (entries == null) {
                 entries = new ArrayList<>();
                 int busy = poisson(BUSY_SHARE * mean);
                 int usual = poisson(mean);
                 if (busy > 0 || open) {
-                    entries.add(new Api.News(BUSY, busy, open));
+                    entries.add(new Api.ServerReport(BUSY, busy, open));
                 }
                 if (usual > 0) {
-                    entries.add(new Api.News(USUAL, usual, false));
+                    entries.add(new Api.ServerReport(USUAL, usual, false));
                 }
                 for (int server = 100; entries.size() < size; server++) {
-                    entries.add(new Api.News(server, 1, false));
+                    entries.add(new Api.ServerReport(server, 1, false));
                 }
             }
             return entries.get(i);
         }
 
         @Override
-        public Stream<Api.News> stream() {
+        public Stream<Api.ServerReport> stream() {
             if (size > 0 || open) {
                 get(0);
             }
--- a/router/src/test/java/stagepier/peers/SampledFleetTest.java
+++ b/router/src/test/java/stagepier/peers/SampledFleetTest.java
@@ -53,7 +53,7 @@
             for (; next < sent.size() && sent.get(next).at() <= now; next++) {
                 Sent s = sent.get(next);
                 if (hears.test(s.router())) {
-                    view.take(s.at(), s.router(), NewsCodec.decode(s.message()));
+                    view.take(s.at(), s.router(), PeerReportCodec.decode(s.message()));
                 }
             }
             view.forget(now);
@@ -145,7 +145,7 @@
         for (int router = 0; router < fleet.routers; router++) {
             double mean = fleet.mean(router, share);
             double entries = fleet.entries(router);
-            double told = Math.min(entries, NewsCodec.ENTRIES_MOST_WEIGHTED);
+            double told = Math.min(entries, PeerReportCodec.ENTRIES_MOST_WEIGHTED);
             double gap = fleet.routers * (28 + 11 + 5 * told) / RATE;
             double weight =
                     ReportSchedule.weight(gap, ReportSchedule.window(gap, SampledFleet.PERIOD)) * entries / told;
--- a/router/src/test/java/stagepier/server/PoolBench.java
+++ b/router/src/test/java/stagepier/server/PoolBench.java
@@ -20,10 +20,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import stagepier.Api;
-import stagepier.exchange.EventsAdapter;
 import stagepier.exchange.Exchange;
-import stagepier.exchange.HandClock;
+import stagepier.exchange.ManualClock;
 import stagepier.exchange.ModuleHost;
+import stagepier.exchange.NoOpEvents;
 import stagepier.memcache.CommandParser;
 import stagepier.memcache.RingBuffer;
 import stagepier.overload.LoopDelay;
@@ -98,7 +98,7 @@
     }
 
     final EventLoop loop;
-    final HandClock clock = new HandClock();
+    final ManualClock clock = new ManualClock();
     final LoopDelay delay = new LoopDelay();
     final ModuleHost host;
     final ServerPools pools;
@@ -147,7 +147,7 @@
 
     /** The process stands still now; the list, asked for anew when that is seen, comes when the test says so. On the event loop. */
     void standStill() {
-        delay.looks(clock.now());
+        delay.onPoll(clock.now());
         pass(0.6);
         host.connectList(then -> {
             goOn = then;
@@ -260,7 +260,7 @@
     }
 
     /** Sends each request once to the server that the test named, and gives up after that. */
-    private final class Module extends EventsAdapter {
+    private final class Module extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request request) {
             beforeSend.run();
--- a/router/src/test/java/stagepier/shadow/CandidateFileTest.java
+++ b/router/src/test/java/stagepier/shadow/CandidateFileTest.java
@@ -52,7 +52,7 @@
     @Test
     void theWishMakesNoOtherCandidateOfIt() throws CandidateException {
         CandidateFile.Read read = CandidateFile.parse("x", GOOD.replace("step_s", "wish = \"promote\"\nstep_s"));
-        assertEquals(CandidateFile.Wish.PROMOTE, read.wish());
+        assertEquals(CandidateFile.DesiredState.PROMOTE, read.wish());
         assertEquals(good().id(), read.map().id());
     }
 
--- a/router/src/test/java/stagepier/shadow/ShadowCopiesTest.java
+++ b/router/src/test/java/stagepier/shadow/ShadowCopiesTest.java
@@ -106,7 +106,7 @@
         world.play(1, 12_000, 200);
         Verdict v = Verdict.of(
                 Counts.sums(Counts.SCORES, world::counter), Counts.sums(Counts.CONTROLS, world::counter), 0.02, true);
-        assertEquals(Verdict.Kind.WORSE, v.kind(), v::words);
+        assertEquals(Verdict.Kind.WORSE, v.kind(), v::describe);
     }
 
     @Test
@@ -183,13 +183,13 @@
                 case 0 -> world.pressed = true;
                 case 1 -> world.draining = true;
                 case 2 -> {
-                    ShadowOrders o = world.orders;
+                    ShadowPlan o = world.orders;
                     world.orders =
-                            new ShadowOrders(o.map(), o.slice(), o.ring(), o.present(), o.fleet(), o.until(), false);
+                            new ShadowPlan(o.map(), o.slice(), o.ring(), o.present(), o.fleet(), o.until(), false);
                 }
                 default -> {
-                    ShadowOrders o = world.orders;
-                    world.orders = new ShadowOrders(o.map(), o.slice(), o.ring(), o.present(), o.fleet(), -1, true);
+                    ShadowPlan o = world.orders;
+                    world.orders = new ShadowPlan(o.map(), o.slice(), o.ring(), o.present(), o.fleet(), -1, true);
                 }
             }
             world.run(0.06);
@@ -218,23 +218,23 @@
 
     @Test
     void coldCrowdedAndFailingServersAreSpared() {
-        ServerStates states = new ServerStates(2, (now, server) -> server == 4 ? Fitness.CROWDED : Fitness.FIT);
+        ServerStates states = new ServerStates(2, (now, server) -> server == 4 ? Eligibility.CROWDED : Eligibility.FIT);
         Stream.of(1, 2, 3, 4)
                 .forEach(id ->
                         states.listed(new Api.Member(id, 0, 0, 0, Api.MemberState.READY, 1, id == 1 ? 99 : 0), null));
-        assertEquals(Fitness.COLD, states.of(100, 1));
-        assertEquals(Fitness.FIT, states.of(101, 1));
+        assertEquals(Eligibility.COLD, states.of(100, 1));
+        assertEquals(Eligibility.FIT, states.of(101, 1));
         states.ended(100, 2, Api.Outcome.FULL);
-        assertEquals(Fitness.CROWDED, states.of(100.5, 2));
-        assertEquals(Fitness.FIT, states.of(101, 2));
+        assertEquals(Eligibility.CROWDED, states.of(100.5, 2));
+        assertEquals(Eligibility.FIT, states.of(101, 2));
         for (int i = 0; i < 3; i++) {
-            assertEquals(Fitness.FIT, states.of(100, 3));
+            assertEquals(Eligibility.FIT, states.of(100, 3));
             states.ended(100, 3, Api.Outcome.TIMEOUT);
         }
-        assertEquals(Fitness.OPEN, states.of(101, 3));
+        assertEquals(Eligibility.OPEN, states.of(101, 3));
         states.ended(101, 3, Api.Outcome.OK);
-        assertEquals(Fitness.FIT, states.of(101, 3));
-        assertEquals(Fitness.CROWDED, states.of(101, 4));
-        assertEquals(Fitness.ABSENT, states.of(101, 5));
+        assertEquals(Eligibility.FIT, states.of(101, 3));
+        assertEquals(Eligibility.CROWDED, states.of(101, 4));
+        assertEquals(Eligibility.ABSENT, states.of(101, 5));
     }
 }
--- a/router/src/test/java/stagepier/shadow/ShadowFleet.java
+++ b/router/src/test/java/stagepier/shadow/ShadowFleet.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import stagepier.Api;
-import stagepier.fleet.Calls;
 import stagepier.fleet.FleetConfig;
+import stagepier.fleet.FleetRpc;
 import stagepier.fleet.FleetView;
-import stagepier.fleet.MemoryNet;
+import stagepier.fleet.SimulatedNetwork;
 import stagepier.fleet.VirtualWorld;
 import stagepier.freeze.Calendar;
 import stagepier.freeze.Change;
@@ -28,7 +28,7 @@
         final String name;
         final long incarnation;
         final VirtualWorld.Node node;
-        final ShadowPart part;
+        final ShadowService part;
         final Counts counts = new Counts();
         /** What it holds of the fleet, as its own view would tell it late. */
         boolean majority = true;
@@ -39,8 +39,8 @@
             this.name = name;
             incarnation = ++incarnations;
             node = world.node(name, wallOff);
-            Calls calls = net.calls(node);
-            part = new ShadowPart(new ShadowPart.Parts(
+            FleetRpc calls = net.calls(node);
+            part = new ShadowService(new ShadowService.Parts(
                     node,
                     calls,
                     config(name),
@@ -80,13 +80,13 @@
 
         /** Whether its event loop would send copies now. */
         boolean copies() {
-            ShadowOrders o = part.orders();
+            ShadowPlan o = part.orders();
             return !node.isDead() && o != null && o.holdAt(node.nanoTime());
         }
     }
 
     final VirtualWorld world;
-    final MemoryNet net;
+    final SimulatedNetwork net;
     final List<String> names = new ArrayList<>();
     final Map<String, Router> routers = new LinkedHashMap<>();
     final List<String> history = new ArrayList<>();
@@ -104,7 +104,7 @@
 
     ShadowFleet(long seed, int size) {
         world = new VirtualWorld(seed);
-        net = new MemoryNet(world);
+        net = new SimulatedNetwork(world);
         for (int i = 0; i < size; i++) {
             names.add(String.format("n%03d", i));
         }
--- a/router/src/test/java/stagepier/shadow/ShadowFleetTest.java
+++ b/router/src/test/java/stagepier/shadow/ShadowFleetTest.java
@@ -291,7 +291,7 @@
         }
     }
 
-    /** Messages stay within what one may hold, whatever is counted: MemoryNet refuses a longer one. */
+    /** Messages stay within what one may hold, whatever is counted: SimulatedNetwork refuses a longer one. */
     @Test
     void manyRoutersWithTimesFitIntoMessages() {
         try (ShadowFleet fleet = new ShadowFleet(1, 40)) {
--- a/router/src/test/java/stagepier/shadow/ShadowRulesTest.java
+++ b/router/src/test/java/stagepier/shadow/ShadowRulesTest.java
@@ -14,7 +14,8 @@
 
 @Timeout(30)
 class ShadowRulesTest {
-    private static final ShadowRules.Asked FINE = new ShadowRules.Asked(true, false, 0, true, 1, 0.9, false);
+    private static final ShadowRules.OriginalRequest FINE =
+            new ShadowRules.OriginalRequest(true, false, 0, true, 1, 0.9, false);
     private static final ShadowRules.Owners MOVED = new ShadowRules.Owners(1, 1, 2);
 
     private static RouterState router(boolean pressed, boolean draining) {
@@ -31,36 +32,47 @@
         };
     }
 
-    private static Ruling rule(ShadowRules.Asked asked, ShadowRules.Owners owners) {
+    private static CopyDecision rule(ShadowRules.OriginalRequest asked, ShadowRules.Owners owners) {
         return new ShadowRules(CandidateFileTest.good(), 1)
-                .rule(10, asked, owners, true, router(false, false), Fitness.FIT);
+                .rule(10, asked, owners, true, router(false, false), Eligibility.FIT);
     }
 
     @Test
     void onlyWhatMayBeRepeatedWasSentAndHasTimeIsCopied() {
-        assertEquals(Ruling.COPY, rule(FINE, MOVED));
-        assertEquals(Ruling.NOT_SAFE, rule(new ShadowRules.Asked(false, false, 0, true, 1, 0.9, false), MOVED));
-        assertEquals(Ruling.NOT_SAFE, rule(new ShadowRules.Asked(true, true, 0, true, 1, 0.9, false), MOVED));
-        assertEquals(Ruling.NOT_SENT, rule(new ShadowRules.Asked(true, false, 0, false, 1, 0.9, false), MOVED));
-        assertEquals(Ruling.NOT_SENT, rule(new ShadowRules.Asked(true, false, 1, true, 1, 0.9, false), MOVED));
-        assertEquals(Ruling.SHORT_OF_TIME, rule(new ShadowRules.Asked(true, false, 0, true, 1, 0.25, false), MOVED));
-        assertEquals(Ruling.COPY, rule(new ShadowRules.Asked(true, false, 0, true, 1, 0.26, false), MOVED));
+        assertEquals(CopyDecision.COPY, rule(FINE, MOVED));
+        assertEquals(
+                CopyDecision.NOT_SAFE,
+                rule(new ShadowRules.OriginalRequest(false, false, 0, true, 1, 0.9, false), MOVED));
+        assertEquals(
+                CopyDecision.NOT_SAFE,
+                rule(new ShadowRules.OriginalRequest(true, true, 0, true, 1, 0.9, false), MOVED));
+        assertEquals(
+                CopyDecision.NOT_SENT,
+                rule(new ShadowRules.OriginalRequest(true, false, 0, false, 1, 0.9, false), MOVED));
+        assertEquals(
+                CopyDecision.NOT_SENT,
+                rule(new ShadowRules.OriginalRequest(true, false, 1, true, 1, 0.9, false), MOVED));
+        assertEquals(
+                CopyDecision.SHORT_OF_TIME,
+                rule(new ShadowRules.OriginalRequest(true, false, 0, true, 1, 0.25, false), MOVED));
+        assertEquals(
+                CopyDecision.COPY, rule(new ShadowRules.OriginalRequest(true, false, 0, true, 1, 0.26, false), MOVED));
     }
 
     @Test
     void onlyToAnotherOwner() {
-        assertEquals(Ruling.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, 1)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, 1)));
         // Spilled: the real one went past its owner, where the candidate leaves the key.
-        assertEquals(Ruling.NOT_MOVED, rule(FINE, new ShadowRules.Owners(3, 2, 2)));
-        assertEquals(Ruling.NOT_MOVED, rule(FINE, new ShadowRules.Owners(2, 1, 2)));
-        assertEquals(Ruling.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, -1)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(3, 2, 2)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(2, 1, 2)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, -1)));
     }
 
     @ParameterizedTest
     @CsvSource({"ABSENT", "DRAINING", "COLD", "CROWDED", "OPEN"})
-    void neverToAServerThatHasToBeSpared(Fitness fitness) {
+    void neverToAServerThatHasToBeSpared(Eligibility fitness) {
         assertEquals(
-                Ruling.NOT_FIT,
+                CopyDecision.NOT_FIT,
                 new ShadowRules(CandidateFileTest.good(), 1)
                         .rule(10, FINE, MOVED, true, router(false, false), fitness));
     }
@@ -68,12 +80,12 @@
     @Test
     void neverWhileTheRouterHasOtherCares() {
         ShadowRules rules = new ShadowRules(CandidateFileTest.good(), 1);
-        assertEquals(Ruling.NOT_NOW, rules.rule(10, FINE, MOVED, false, router(false, false), Fitness.FIT));
-        assertEquals(Ruling.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(true, false), Fitness.FIT));
-        assertEquals(Ruling.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(false, true), Fitness.FIT));
+        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, false, router(false, false), Eligibility.FIT));
+        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(true, false), Eligibility.FIT));
+        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(false, true), Eligibility.FIT));
         rules.refused(10);
-        assertEquals(Ruling.NOT_NOW, rules.rule(10.9, FINE, MOVED, true, router(false, false), Fitness.FIT));
-        assertEquals(Ruling.COPY, rules.rule(11.1, FINE, MOVED, true, router(false, false), Fitness.FIT));
+        assertEquals(CopyDecision.NOT_NOW, rules.rule(10.9, FINE, MOVED, true, router(false, false), Eligibility.FIT));
+        assertEquals(CopyDecision.COPY, rules.rule(11.1, FINE, MOVED, true, router(false, false), Eligibility.FIT));
     }
 
     /** P10: over all routers, and over any of them, whatever is asked and when; also those that have just started. */
@@ -83,7 +95,7 @@
         Random random = new Random(fleet);
         List<Double> spent = new ArrayList<>();
         for (int router = 0; router < fleet; router++) {
-            Pace pace = new Pace(budget, fleet);
+            CopyRateLimiter pace = new CopyRateLimiter(budget, fleet);
             List<Double> own = new ArrayList<>();
             for (double now = 0;
                     now < 20;
@@ -116,7 +128,7 @@
     /** A share below one in a second. */
     @Test
     void aSmallShareIsKeptOverTheTimeThatIsStated() {
-        Pace pace = new Pace(5, 14);
+        CopyRateLimiter pace = new CopyRateLimiter(5, 14);
         double share = 5.0 / 14;
         List<Double> own = new ArrayList<>();
         for (double now = 0; now < 300; now += 0.01) {
@@ -132,15 +144,15 @@
     @Test
     void whatWasFetchedUnforeseenIsPaidBack() {
         ShadowRules rules = new ShadowRules(CandidateFileTest.good(), 1);
-        assertEquals(Ruling.OVER_BUDGET, rules.afford(0, true));
-        assertEquals(Ruling.OVER_FETCHES, rules.afford(0.5, true));
-        assertEquals(Ruling.COPY, rules.afford(1, true));
+        assertEquals(CopyDecision.OVER_BUDGET, rules.afford(0, true));
+        assertEquals(CopyDecision.OVER_FETCHES, rules.afford(0.5, true));
+        assertEquals(CopyDecision.COPY, rules.afford(1, true));
         for (int i = 0; i < 7; i++) {
             rules.fetched(1);
         }
-        assertEquals(Ruling.OVER_FETCHES, rules.afford(2, true));
-        assertEquals(Ruling.COPY, rules.afford(2.1, false));
-        assertEquals(Ruling.COPY, rules.afford(5, true));
+        assertEquals(CopyDecision.OVER_FETCHES, rules.afford(2, true));
+        assertEquals(CopyDecision.COPY, rules.afford(2.1, false));
+        assertEquals(CopyDecision.COPY, rules.afford(5, true));
     }
 
     @Test
--- a/router/src/test/java/stagepier/shadow/ShadowWorld.java
+++ b/router/src/test/java/stagepier/shadow/ShadowWorld.java
@@ -66,8 +66,8 @@
     ShadowCopies copies;
     boolean pressed;
     boolean draining;
-    ShadowOrders orders;
-    Api.Promoted promoted;
+    ShadowPlan orders;
+    Api.PromotedRing promoted;
     private final EmbeddedChannel main = new EmbeddedChannel();
     private final EventLoop loop = main.eventLoop();
     private final Candidate candidate;
@@ -94,7 +94,7 @@
         }
         host.members(true, members);
         if (map != null) {
-            orders = new ShadowOrders(
+            orders = new ShadowPlan(
                     map,
                     new Slice(map.salt()),
                     ShardRing.of(map),
@@ -139,8 +139,8 @@
         }
     }
 
-    private Fitness judge(double at, long server) {
-        return host.spares(at, server) ? Fitness.CROWDED : Fitness.FIT;
+    private Eligibility judge(double at, long server) {
+        return host.avoidsOptionalLoad(at, server) ? Eligibility.CROWDED : Eligibility.FIT;
     }
 
     double seconds() {
--- a/router/src/test/java/stagepier/shadow/VerdictTest.java
+++ b/router/src/test/java/stagepier/shadow/VerdictTest.java
@@ -22,9 +22,9 @@
      * long.
      */
     private static double score(Random random, double times) {
-        Seen real = new Seen(Outcome.OK, Lookup.HIT, 1, time(random), true);
-        Seen copy = new Seen(Outcome.OK, Lookup.HIT, 1, time(random) * times, true);
-        return Comparison.score(Result.SAME, real, copy, true);
+        ExecutionResult real = new ExecutionResult(Outcome.OK, Lookup.HIT, 1, time(random), true);
+        ExecutionResult copy = new ExecutionResult(Outcome.OK, Lookup.HIT, 1, time(random) * times, true);
+        return Comparison.score(ComparisonResult.SAME, real, copy, true);
     }
 
     private static double time(Random random) {
--- a/router/src/test/java/stagepier/tasks/LiveTasksTest.java
+++ b/router/src/test/java/stagepier/tasks/LiveTasksTest.java
@@ -21,7 +21,7 @@
     @Test
     void whatWasTakenInComesOutOnceAndInOrder() throws InterruptedException {
         LiveTasks tasks = new LiveTasks(Clock.systemUTC());
-        Box<int[]> box = tasks.box(64);
+        Mailbox<int[]> box = tasks.mailbox(64);
         AtomicInteger put = new AtomicInteger();
         CountDownLatch done = new CountDownLatch(PUTTERS);
         for (int p = 0; p < PUTTERS; p++) {
@@ -54,7 +54,7 @@
 
     @Test
     void aFullBoxDropsAndCountsAndNeverWaits() throws InterruptedException {
-        Box<String> box = new LiveTasks(Clock.systemUTC()).box(2);
+        Mailbox<String> box = new LiveTasks(Clock.systemUTC()).mailbox(2);
         assertTrue(box.put("a") && box.put("b"));
         assertTrue(!box.put("c"));
         assertEquals(1, box.dropped());
@@ -70,7 +70,7 @@
         LiveTasks tasks = new LiveTasks(Clock.systemUTC());
         CountDownLatch waiting = new CountDownLatch(2);
         CountDownLatch ended = new CountDownLatch(2);
-        Box<String> box = tasks.box(1);
+        Mailbox<String> box = tasks.mailbox(1);
         Tasks.Body sleeps = () -> tasks.sleep(Duration.ofHours(1));
         Tasks.Body takes = () -> box.take(Duration.ofHours(1));
         for (Tasks.Body body : new Tasks.Body[] {sleeps, takes}) {
