--- a/lab/src/main/java/stagepier/lab/capacity/CapacityReport.java
+++ b/lab/src/main/java/stagepier/lab/capacity/CapacityReport.java
@@ -13,8 +13,8 @@
     /** The size of the fleet that the capacity page is about. */
     public static final int FLEET_ROUTERS = 1_900;
 
-    /** @throws BadResultsException where two files hold the same figure of the same size and seed */
-    public static CapacityReport of(List<ResultsFile> files, int target) throws BadResultsException {
+    /** @throws InvalidResultsException where two files hold the same figure of the same size and seed */
+    public static CapacityReport of(List<ResultsFile> files, int target) throws InvalidResultsException {
         List<Sample> all = new ArrayList<>();
         Map<String, String> seen = new HashMap<>();
         for (ResultsFile file : files) {
@@ -23,7 +23,7 @@
                 String key = s.conversation() + " " + s.figure() + ", " + s.routers() + " routers, seed " + s.seed();
                 String other = seen.putIfAbsent(key, file.name());
                 if (other != null) {
-                    throw new BadResultsException(
+                    throw new InvalidResultsException(
                             file.name(), "samples[" + i + "]", key + " stands in " + other + " already");
                 }
                 all.add(s);
--- a/lab/src/main/java/stagepier/lab/capacity/ResultsReader.java
+++ b/lab/src/main/java/stagepier/lab/capacity/ResultsReader.java
@@ -57,16 +57,16 @@
         return parse(file.toString(), Files.readString(file));
     }
 
-    static ResultsFile parse(String name, String text) throws BadResultsException {
+    static ResultsFile parse(String name, String text) throws InvalidResultsException {
         JsonElement whole;
         try {
             whole = JsonParser.parseString(text);
         } catch (JsonParseException e) {
-            throw new BadResultsException(
+            throw new InvalidResultsException(
                     name, "", "not JSON: " + e.getMessage().replaceAll("\\s+", " "));
         }
         if (!whole.isJsonObject()) {
-            throw new BadResultsException(name, "", "not the results of scale runs");
+            throw new InvalidResultsException(name, "", "not the results of scale runs");
         }
         Keys keys = new Keys(name, "", whole.getAsJsonObject());
         JsonArray entries = keys.array("samples");
@@ -74,12 +74,12 @@
         for (int i = 0; i < entries.size(); i++) {
             String key = "samples[" + i + "]";
             if (!entries.get(i).isJsonObject()) {
-                throw new BadResultsException(name, key, "must be an object");
+                throw new InvalidResultsException(name, key, "must be an object");
             }
             samples.add(sample(new Keys(name, key + ".", entries.get(i).getAsJsonObject())));
         }
         if (samples.isEmpty()) {
-            throw new BadResultsException(name, "samples", "holds none");
+            throw new InvalidResultsException(name, "samples", "holds none");
         }
         JsonArray reasons = keys.array("invalid");
         List<String> invalid = new ArrayList<>();
@@ -94,7 +94,7 @@
                 List.copyOf(invalid));
     }
 
-    private static Sample sample(Keys keys) throws BadResultsException {
+    private static Sample sample(Keys keys) throws InvalidResultsException {
         return new Sample(
                 keys.name("conversation", Conversation.class),
                 keys.name("figure", Figure.class),
@@ -105,11 +105,11 @@
 
     /** The keys of one object, each with its own error. */
     private record Keys(String file, String before, JsonObject object) {
-        private BadResultsException bad(String key, String why) {
-            return new BadResultsException(file, before + key, why);
+        private InvalidResultsException bad(String key, String why) {
+            return new InvalidResultsException(file, before + key, why);
         }
 
-        JsonElement element(String key) throws BadResultsException {
+        JsonElement element(String key) throws InvalidResultsException {
             JsonElement element = object.get(key);
             if (element == null || element.isJsonNull()) {
                 throw bad(key, "is missing");
@@ -117,7 +117,7 @@
             return element;
         }
 
-        JsonArray array(String key) throws BadResultsException {
+        JsonArray array(String key) throws InvalidResultsException {
             JsonElement element = element(key);
             if (!element.isJsonArray()) {
                 throw bad(key, "must be a list");
@@ -125,14 +125,14 @@
             return element.getAsJsonArray();
         }
 
-        String text(String key, JsonElement element) throws BadResultsException {
+        String text(String key, JsonElement element) throws InvalidResultsException {
             if (!(element instanceof JsonPrimitive p) || !p.isString()) {
                 throw bad(key, "must be a text");
             }
             return element.getAsString();
         }
 
-        long whole(String key, long least, long most) throws BadResultsException {
+        long whole(String key, long least, long most) throws InvalidResultsException {
             try {
                 long whole = number(key).longValueExact();
                 if (whole >= least && whole <= most) {
@@ -144,7 +144,7 @@
             throw bad(key, "must be a whole number from " + least + " to " + most);
         }
 
-        double value(String key) throws BadResultsException {
+        double value(String key) throws InvalidResultsException {
             double value = number(key).doubleValue();
             if (!Double.isFinite(value) || value < 0) {
                 throw bad(key, "must be a finite number that is not negative");
@@ -152,7 +152,7 @@
             return value;
         }
 
-        private BigDecimal number(String key) throws BadResultsException {
+        private BigDecimal number(String key) throws InvalidResultsException {
             if (element(key) instanceof JsonPrimitive p && p.isNumber()) {
                 try {
                     return p.getAsBigDecimal();
@@ -163,7 +163,7 @@
             throw bad(key, "must be a number");
         }
 
-        <E extends Enum<E>> E name(String key, Class<E> of) throws BadResultsException {
+        <E extends Enum<E>> E name(String key, Class<E> of) throws InvalidResultsException {
             String name = text(key, element(key));
             return Arrays.stream(of.getEnumConstants())
                     .filter(e -> e.name().equals(name))
--- a/lab/src/main/java/stagepier/lab/check/CalendarGuarantees.java
+++ b/lab/src/main/java/stagepier/lab/check/CalendarGuarantees.java
@@ -7,7 +7,7 @@
 import stagepier.lab.check.Windows.Version;
 
 /** P5 to P8: what the calendar promises. */
-final class CalendarPromises {
+final class CalendarGuarantees {
     private static final double ACCEPTED_WITHIN = 2;
     private static final double KNOWN_WITHIN = 3;
     /** All changes that may wait; whatever else is held is held wrongly. */
@@ -18,7 +18,7 @@
     private final Timeline timeline;
     private final int majority;
 
-    CalendarPromises(Evidence evidence) {
+    CalendarGuarantees(Evidence evidence) {
         this.evidence = evidence;
         timeline = evidence.timeline();
         majority = timeline.routers() / 2 + 1;
@@ -39,18 +39,19 @@
             HistoryEntry first = byVersion.putIfAbsent(Version.of(t), t);
             if (first != null && !first.text("hash").equals(t.text("hash"))) {
                 return Verdict.broken(
-                        Promise.P5,
+                        Guarantee.P5,
                         "%s and %s hold different calendars as version %s"
                                 .formatted(first.router(), t.router(), t.text("version")),
                         List.of(first, t));
             }
             HistoryEntry before = byProcess.put(t.router() + ":" + t.process(), t);
             if (before != null && Version.of(t).compareTo(Version.of(before)) < 0) {
-                return Verdict.broken(Promise.P5, t.router() + " goes back to an earlier version", List.of(before, t));
+                return Verdict.broken(
+                        Guarantee.P5, t.router() + " goes back to an earlier version", List.of(before, t));
             }
             looks++;
         }
-        return Verdict.kept(Promise.P5, looks);
+        return Verdict.kept(Guarantee.P5, looks);
     }
 
     Verdict nothingInAWindow() {
@@ -67,7 +68,7 @@
                     evidence.limits().lease() + evidence.limits().skew());
             if (by != null) {
                 return Verdict.broken(
-                        Promise.P6,
+                        Guarantee.P6,
                         "%s admits %s of '%s' inside a window that was accepted %.1f s before"
                                 .formatted(t.router(), t.text("kind"), t.text("server"), t.at() - by.at()),
                         List.of(by, t));
@@ -76,13 +77,13 @@
         }
         // What was held shows as well that there was something to hold.
         return Verdict.kept(
-                Promise.P6,
+                Guarantee.P6,
                 windows.areKnown() ? looks + evidence.of("topology.held").size() : 0);
     }
 
     Verdict othersNeverWait() {
         if (!evidence.seen().drains().isEmpty()) {
-            return Verdict.broken(Promise.P7, evidence.seen().drains().get(0), List.of());
+            return Verdict.broken(Guarantee.P7, evidence.seen().drains().get(0), List.of());
         }
         int looks = 0;
         for (HistoryEntry t : evidence.told()) {
@@ -92,26 +93,26 @@
             boolean waits = t.is("topology.held") || t.is("topology.refused");
             if (waits && !VOLUNTARY.contains(t.text("kind"))) {
                 return Verdict.broken(
-                        Promise.P7,
+                        Guarantee.P7,
                         "%s lets %s of '%s' wait".formatted(t.router(), t.text("kind"), t.text("server")),
                         List.of(t));
             }
             looks++;
         }
-        return Verdict.kept(Promise.P7, looks);
+        return Verdict.kept(Guarantee.P7, looks);
     }
 
     Verdict inTime() {
-        Map<Integer, List<HistoryEntry>> taken = evidence.byRouter(CalendarPromises::isTakenUp);
+        Map<Integer, List<HistoryEntry>> taken = evidence.byRouter(CalendarGuarantees::isTakenUp);
         int looks = 0;
         for (Evidence.Proposal p : evidence.proposals()) {
-            double due = p.at() + ACCEPTED_WITHIN + ViewPromises.SLACK;
+            double due = p.at() + ACCEPTED_WITHIN + ViewGuarantees.SLACK;
             if (due > evidence.until() || !timeline.among(p.router(), majority, p.at(), due)) {
                 continue;
             }
             if (taken.getOrDefault(p.router(), List.of()).stream().noneMatch(t -> t.at() >= p.at() && t.at() <= due)) {
                 return Verdict.broken(
-                        Promise.P8,
+                        Guarantee.P8,
                         "what staff proposed at n%d at %.1f s, in a majority, was not accepted within 2 s"
                                 .formatted(p.router(), p.at()),
                         taken.getOrDefault(p.router(), List.of()));
@@ -119,22 +120,22 @@
             looks++;
         }
         for (HistoryEntry first : evidence.of("calendar.accepted")) {
-            double due = Math.max(first.at(), evidence.lastFault()) + KNOWN_WITHIN + ViewPromises.SLACK;
+            double due = Math.max(first.at(), evidence.lastFault()) + KNOWN_WITHIN + ViewGuarantees.SLACK;
             for (int r = 0; r < timeline.routers() && due <= evidence.until(); r++) {
-                if (!timeline.among(r, majority, due - KNOWN_WITHIN - ViewPromises.SLACK, due)) {
+                if (!timeline.among(r, majority, due - KNOWN_WITHIN - ViewGuarantees.SLACK, due)) {
                     continue;
                 }
                 HistoryEntry last = Evidence.at(ofItsProcess(taken.getOrDefault(r, List.of()), r, due), due);
                 if (last == null || Version.of(last).compareTo(Version.of(first)) < 0) {
                     return Verdict.broken(
-                            Promise.P8,
+                            Guarantee.P8,
                             "n%d does not know version %s at %.1f s".formatted(r, first.text("version"), due),
                             last == null ? List.of(first) : List.of(first, last));
                 }
                 looks++;
             }
         }
-        return Verdict.kept(Promise.P8, looks);
+        return Verdict.kept(Guarantee.P8, looks);
     }
 
     /** What an earlier process of that router held, the one that runs at a moment does not. */
--- a/lab/src/main/java/stagepier/lab/check/Evidence.java
+++ b/lab/src/main/java/stagepier/lab/check/Evidence.java
@@ -25,7 +25,7 @@
         double until,
         List<Proposal> proposals,
         Limits limits,
-        Seen seen) {
+        Observations seen) {
     /** Staff have had a changed calendar read at a router. */
     public record Proposal(double at, int router) {}
 
@@ -42,8 +42,8 @@
      * @param traffic bytes that each router sent to others, a number a second
      * @param without the histories of the same run with the shadow off; empty where it was not played
      */
-    public record Seen(List<String> drains, Map<Integer, List<Long>> traffic, List<HistoryEntry> without) {
-        public static final Seen NOTHING = new Seen(List.of(), Map.of(), List.of());
+    public record Observations(List<String> drains, Map<Integer, List<Long>> traffic, List<HistoryEntry> without) {
+        public static final Observations NOTHING = new Observations(List.of(), Map.of(), List.of());
     }
 
     public Evidence {
--- a/lab/src/main/java/stagepier/lab/check/Guarantee.java
+++ b/lab/src/main/java/stagepier/lab/check/Guarantee.java
@@ -1,7 +1,7 @@
 package stagepier.lab.check;
 
 /** What a fleet that decides together promises. */
-public enum Promise {
+public enum Guarantee {
     P1("the same view everywhere 3 s after the last fault, and for 60 s"),
     P2("no live, unbroken router is called gone"),
     P3("epochs never run back, and who is in no majority says so within 3 s"),
@@ -15,13 +15,13 @@
     P11("merged counters are those of the histories"),
     P12("no key from two maps outside the step, no promotion in a freeze");
 
-    private final String words;
+    private final String description;
 
-    Promise(String words) {
-        this.words = words;
+    Guarantee(String description) {
+        this.description = description;
     }
 
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 }
--- a/lab/src/main/java/stagepier/lab/check/ShadowGuarantees.java
+++ b/lab/src/main/java/stagepier/lab/check/ShadowGuarantees.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** P9 to P12: what the shadow map promises. */
-final class ShadowPromises {
+final class ShadowGuarantees {
     /** Seconds after which a side of a partition knows how large it is. */
     private static final double KNOWN_AFTER = 4;
     /** Seconds for which two routers may serve from two maps: the step. */
@@ -16,7 +16,7 @@
     private final Evidence evidence;
     private final Timeline timeline;
 
-    ShadowPromises(Evidence evidence) {
+    ShadowGuarantees(Evidence evidence) {
         this.evidence = evidence;
         timeline = evidence.timeline();
     }
@@ -30,7 +30,8 @@
         for (HistoryEntry t : evidence.of("shadow.real")) {
             HistoryEntry first = real.putIfAbsent(t.text("id"), t);
             if (first != null) {
-                return Verdict.broken(Promise.P9, "request " + t.text("id") + " has two real ends", List.of(first, t));
+                return Verdict.broken(
+                        Guarantee.P9, "request " + t.text("id") + " has two real ends", List.of(first, t));
             }
         }
         int looks = real.size();
@@ -38,7 +39,7 @@
             HistoryEntry of = real.get(copy.text("id"));
             if (of != null && of.text("server").equals(copy.text("server"))) {
                 return Verdict.broken(
-                        Promise.P9,
+                        Guarantee.P9,
                         "the copy of request %s went where the real one was served".formatted(copy.text("id")),
                         List.of(copy, of));
             }
@@ -47,12 +48,12 @@
             HistoryEntry with = without.is("shadow.real") ? real.get(without.text("id")) : null;
             if (with != null && !outcome(with).equals(outcome(without))) {
                 return Verdict.broken(
-                        Promise.P9,
+                        Guarantee.P9,
                         "request %s ends otherwise with the shadow off".formatted(with.text("id")),
                         List.of(with, without));
             }
         }
-        return Verdict.kept(Promise.P9, looks);
+        return Verdict.kept(Guarantee.P9, looks);
     }
 
     Verdict withinBudget() {
@@ -67,7 +68,7 @@
             List<HistoryEntry> second = copies.subList(first, i + 1);
             if (second.size() > Math.ceil(budget)) {
                 return Verdict.broken(
-                        Promise.P10,
+                        Guarantee.P10,
                         "%d copies within a second, the budget is %.1f".formatted(second.size(), budget),
                         second);
             }
@@ -82,13 +83,13 @@
                     .toList();
             if (ofSide.size() > Math.ceil(share)) {
                 return Verdict.broken(
-                        Promise.P10,
+                        Guarantee.P10,
                         "%d copies within a second on a side of %d of %d"
                                 .formatted(ofSide.size(), side.cardinality(), timeline.routers()),
                         ofSide);
             }
         }
-        return Verdict.kept(Promise.P10, copies.size());
+        return Verdict.kept(Guarantee.P10, copies.size());
     }
 
     /** The side that a router has been on for so long that it knows; empty where it changed meanwhile. */
@@ -117,7 +118,7 @@
             long sum = counts.values().stream().mapToLong(n -> n).sum();
             if (sum != (long) t.number("total", sum)) {
                 return Verdict.broken(
-                        Promise.P11,
+                        Guarantee.P11,
                         "%s's total is not the sum of its counts, %d".formatted(t.router(), sum),
                         List.of(t));
             }
@@ -127,7 +128,7 @@
                         .count();
                 if (count.getValue() > made) {
                     return Verdict.broken(
-                            Promise.P11,
+                            Guarantee.P11,
                             "%s counts %d copies of %s, which had made %d"
                                     .formatted(t.router(), count.getValue(), count.getKey(), made),
                             List.of(t));
@@ -135,7 +136,7 @@
                 long earlier = before.getOrDefault(process, Map.of()).getOrDefault(count.getKey(), 0L);
                 if (count.getValue() < earlier) {
                     return Verdict.broken(
-                            Promise.P11,
+                            Guarantee.P11,
                             "%s forgets copies of %s".formatted(t.router(), count.getKey()),
                             List.of(last.get(process), t));
                 }
@@ -144,7 +145,7 @@
             before.put(process, counts);
             last.put(process, t);
         }
-        return Verdict.kept(Promise.P11, looks);
+        return Verdict.kept(Guarantee.P11, looks);
     }
 
     /** Copies by process, from {@code router:incarnation:copies}. */
@@ -175,7 +176,7 @@
             Integer before = reached.put(t.router() + ":" + t.process(), index);
             if (before != null && before > index) {
                 return Verdict.broken(
-                        Promise.P12, t.router() + " goes back to an earlier step", List.of(steps.get(before), t));
+                        Guarantee.P12, t.router() + " goes back to an earlier step", List.of(steps.get(before), t));
             }
             HistoryEntry by = t.flag("rollback")
                     ? null
@@ -185,7 +186,7 @@
                             t,
                             evidence.limits().lease() + evidence.limits().skew());
             if (by != null) {
-                return Verdict.broken(Promise.P12, t.router() + " promotes inside a freeze", List.of(by, t));
+                return Verdict.broken(Guarantee.P12, t.router() + " promotes inside a freeze", List.of(by, t));
             }
             looks++;
         }
@@ -193,13 +194,13 @@
             HistoryEntry straggler = straggler(steps.get(i), order.subList(i, order.size()));
             if (straggler != null) {
                 return Verdict.broken(
-                        Promise.P12,
+                        Guarantee.P12,
                         "%s is not at the step of %s %.0f s after it"
                                 .formatted(straggler.router(), steps.get(i).router(), STEP_TAKES),
                         List.of(steps.get(i), straggler));
             }
         }
-        return Verdict.kept(Promise.P12, looks);
+        return Verdict.kept(Guarantee.P12, looks);
     }
 
     private static String state(HistoryEntry t) {
@@ -208,7 +209,7 @@
 
     /** The last word, of any kind, of a router that had heard the one who took a step all the time and is still before it. */
     private HistoryEntry straggler(HistoryEntry step, List<String> thereOrLater) {
-        double due = step.at() + STEP_TAKES + ViewPromises.SLACK;
+        double due = step.at() + STEP_TAKES + ViewGuarantees.SLACK;
         int first = evidence.number(step.router());
         for (int r = 0; r < timeline.routers() && due <= evidence.until(); r++) {
             if (r == first || !timeline.together(first, r, step.at(), due)) {
--- a/lab/src/main/java/stagepier/lab/check/Timeline.java
+++ b/lab/src/main/java/stagepier/lab/check/Timeline.java
@@ -11,7 +11,7 @@
 public final class Timeline {
     /** Who hears whom at a moment, as the lab had it. */
     @FunctionalInterface
-    public interface Hearing {
+    public interface Connectivity {
         boolean hears(int to, int from, double at);
     }
 
@@ -30,7 +30,7 @@
      * @param still when each router, by its number, was down or stood still
      * @param until end of the run, in seconds
      */
-    public Timeline(int routers, Map<Integer, List<Span>> still, Hearing hearing, double until) {
+    public Timeline(int routers, Map<Integer, List<Span>> still, Connectivity hearing, double until) {
         this.routers = routers;
         steps = (int) Math.ceil(until / STEP) + 1;
         for (int i = 0; i < steps; i++) {
@@ -47,7 +47,7 @@
         }
     }
 
-    private BitSet pairs(Hearing hearing, double from) {
+    private BitSet pairs(Connectivity hearing, double from) {
         BitSet pairs = new BitSet();
         for (int to = 0; to < routers; to++) {
             for (int of = 0; of < routers; of++) {
--- a/lab/src/main/java/stagepier/lab/check/Verdict.java
+++ b/lab/src/main/java/stagepier/lab/check/Verdict.java
@@ -9,7 +9,7 @@
  * @param what  what is wrong, or what was looked at
  * @param lines the first counterexample, from the histories
  */
-public record Verdict(Promise promise, State state, String what, List<String> lines) {
+public record Verdict(Guarantee promise, State state, String what, List<String> lines) {
     /** How it turned out. */
     public enum State {
         KEPT,
@@ -19,13 +19,13 @@
 
     private static final int LINES_MOST = 8;
 
-    static Verdict kept(Promise promise, int looks) {
+    static Verdict kept(Guarantee promise, int looks) {
         return looks == 0
                 ? new Verdict(promise, State.NOT_SEEN, "nothing in the run could have broken it", List.of())
                 : new Verdict(promise, State.KEPT, looks + " looks", List.of());
     }
 
-    static Verdict broken(Promise promise, String what, List<HistoryEntry> lines) {
+    static Verdict broken(Guarantee promise, String what, List<HistoryEntry> lines) {
         return new Verdict(
                 promise,
                 State.BROKEN,
@@ -44,6 +44,6 @@
                 .formatted(
                         promise,
                         state == State.NOT_SEEN ? "not seen" : state.name().toLowerCase(java.util.Locale.ROOT),
-                        state == State.BROKEN ? what : promise.words() + " (" + what + ")");
+                        state == State.BROKEN ? what : promise.description() + " (" + what + ")");
     }
 }
--- a/lab/src/main/java/stagepier/lab/check/ViewGuarantees.java
+++ b/lab/src/main/java/stagepier/lab/check/ViewGuarantees.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 
 /** P1 to P4: what the view of the fleet promises. */
-final class ViewPromises {
+final class ViewGuarantees {
     /** Seconds within which a view settles, and a minority says that it is one. */
     static final double SETTLES = 3;
     /** Seconds for which it then stays. */
@@ -23,7 +23,7 @@
     private final Timeline timeline;
     private final Map<Integer, List<HistoryEntry>> views;
 
-    ViewPromises(Evidence evidence) {
+    ViewGuarantees(Evidence evidence) {
         this.evidence = evidence;
         timeline = evidence.timeline();
         views = evidence.byRouter(t -> t.is("view"));
@@ -32,7 +32,7 @@
     Verdict settles() {
         double settled = evidence.lastFault() + SETTLES + SLACK;
         if (settled > evidence.until() || views.isEmpty()) {
-            return Verdict.kept(Promise.P1, 0);
+            return Verdict.kept(Guarantee.P1, 0);
         }
         int looks = 0;
         for (int r = 0; r < timeline.routers(); r++) {
@@ -42,14 +42,14 @@
             }
             HistoryEntry here = Evidence.at(views.getOrDefault(r, List.of()), settled);
             if (here == null) {
-                return Verdict.broken(Promise.P1, "n%d holds no view at %.1f s".formatted(r, settled), List.of());
+                return Verdict.broken(Guarantee.P1, "n%d holds no view at %.1f s".formatted(r, settled), List.of());
             }
             BitSet around = timeline.around(r, timeline.step(settled));
             for (int other = around.nextSetBit(r + 1); other >= 0; other = around.nextSetBit(other + 1)) {
                 HistoryEntry there = Evidence.at(views.getOrDefault(other, List.of()), settled);
                 if (there != null && !members(here).equals(members(there))) {
                     return Verdict.broken(
-                            Promise.P1,
+                            Guarantee.P1,
                             "n%d and n%d hear each other and differ %.1f s after the last fault"
                                     .formatted(r, other, SETTLES),
                             List.of(here, there));
@@ -60,7 +60,7 @@
                         && later.at() <= settled + STAYS
                         && !members(later).equals(members(here))) {
                     return Verdict.broken(
-                            Promise.P1,
+                            Guarantee.P1,
                             "n%d changes its view %.1f s after the last fault"
                                     .formatted(r, later.at() - evidence.lastFault()),
                             List.of(here, later));
@@ -68,7 +68,7 @@
             }
             looks++;
         }
-        return Verdict.kept(Promise.P1, looks);
+        return Verdict.kept(Guarantee.P1, looks);
     }
 
     /** By name, the member as it stands in a view: {@code name:incarnation:STATE}. */
@@ -97,7 +97,7 @@
                     int gone = evidence.number(member.getKey());
                     if (isNew && gone >= 0 && isUnbroken(gone, of.getKey(), view.at())) {
                         return Verdict.broken(
-                                Promise.P2,
+                                Guarantee.P2,
                                 "n%d calls %s gone, which ran and was heard for %.0f s"
                                         .formatted(of.getKey(), member.getKey(), EXCUSED),
                                 List.of(view));
@@ -106,7 +106,7 @@
                 before = now;
             }
         }
-        return Verdict.kept(Promise.P2, looks);
+        return Verdict.kept(Guarantee.P2, looks);
     }
 
     /** That who judges stood still itself is no excuse for its judgement. */
@@ -126,7 +126,7 @@
         for (HistoryEntry view : evidence.of("view")) {
             HistoryEntry before = last.put(view.router() + ":" + view.process(), view);
             if (before != null && view.number("epoch", 0) < before.number("epoch", 0)) {
-                return Verdict.broken(Promise.P3, view.router() + "'s epoch runs back", List.of(before, view));
+                return Verdict.broken(Guarantee.P3, view.router() + "'s epoch runs back", List.of(before, view));
             }
             looks++;
         }
@@ -146,20 +146,20 @@
                 HistoryEntry view = Evidence.at(of.getValue(), now);
                 if (now > since + SETTLES + SLACK && view != null && view.flag("majority")) {
                     return Verdict.broken(
-                            Promise.P3,
+                            Guarantee.P3,
                             "n%d is with %d others of %d since %.1f s and says at %.1f s that it is in a majority"
                                     .formatted(of.getKey(), size - 1, timeline.routers(), since, now),
                             List.of(view));
                 }
             }
         }
-        return Verdict.kept(Promise.P3, looks);
+        return Verdict.kept(Guarantee.P3, looks);
     }
 
     Verdict traffic() {
         double most = evidence.limits().trafficMost();
         if (most <= 0) {
-            return Verdict.kept(Promise.P4, 0);
+            return Verdict.kept(Guarantee.P4, 0);
         }
         int looks = 0;
         for (var of : evidence.seen().traffic().entrySet()) {
@@ -171,7 +171,7 @@
                         .orElse(0);
                 if (mean > most) {
                     return Verdict.broken(
-                            Promise.P4,
+                            Guarantee.P4,
                             "n%d sent %.0f bytes a second to others from %d s on for %d s, the bound is %.0f"
                                     .formatted(of.getKey(), mean, i, TRAFFIC_SPAN, most),
                             List.of());
@@ -179,6 +179,6 @@
                 looks++;
             }
         }
-        return Verdict.kept(Promise.P4, looks);
+        return Verdict.kept(Guarantee.P4, looks);
     }
 }
--- a/lab/src/main/java/stagepier/lab/cli/Cli.java
+++ b/lab/src/main/java/stagepier/lab/cli/Cli.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import stagepier.lab.scale.PlanTooLargeException;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 
 /** The command line: one word each for what a person does with the project. */
 @Command(
@@ -40,10 +40,10 @@
                 .setExecutionExceptionHandler((e, at, parsed) -> {
                     at.getErr()
                             .println(
-                                    e instanceof BadScenarioException
+                                    e instanceof InvalidScenarioException
                                             ? e.getMessage()
                                             : at.getCommandSpec().qualifiedName() + ": " + oneLine(e));
-                    boolean badConfig = e instanceof BadScenarioException || e instanceof PlanTooLargeException;
+                    boolean badConfig = e instanceof InvalidScenarioException || e instanceof PlanTooLargeException;
                     return badConfig ? BAD_CONFIG : e instanceof IOException ? IO_ERROR : BROKEN;
                 });
     }
--- a/lab/src/main/java/stagepier/lab/cli/Demo.java
+++ b/lab/src/main/java/stagepier/lab/cli/Demo.java
@@ -14,8 +14,8 @@
 import stagepier.lab.measure.Series;
 import stagepier.lab.report.ResultFolder;
 import stagepier.lab.report.Summary;
-import stagepier.lab.scenario.BadScenarioException;
 import stagepier.lab.scenario.Fault;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
 
@@ -51,7 +51,7 @@
     private Path out;
 
     @Override
-    public Integer call() throws IOException, InterruptedException, BadScenarioException {
+    public Integer call() throws IOException, InterruptedException, InvalidScenarioException {
         PrintWriter to = spec.commandLine().getOut();
         Scenario scenario = scenario();
         to.printf(
@@ -82,7 +82,7 @@
     }
 
     /** The same as a scenario file would be, so that its checks hold here as well. */
-    private Scenario scenario() throws BadScenarioException {
+    private Scenario scenario() throws InvalidScenarioException {
         String text = """
                 name = "demo"
                 about = "A fleet on one machine"
@@ -122,8 +122,8 @@
                 "%6d %8.3f %8d %8d %8.1f %9d %9d  %s%n",
                 i,
                 s.service(),
-                s.of(Series.Fate.REFUSED),
-                s.of(Series.Fate.FAILED) + s.of(Series.Fate.UNANSWERED),
+                s.of(Series.RequestOutcome.REFUSED),
+                s.of(Series.RequestOutcome.FAILED) + s.of(Series.RequestOutcome.UNANSWERED),
                 s.latencyAt(99) / 1e3,
                 s.fetches(),
                 s.held(),
--- a/lab/src/main/java/stagepier/lab/cli/HuntCommand.java
+++ b/lab/src/main/java/stagepier/lab/cli/HuntCommand.java
@@ -14,9 +14,9 @@
 import picocli.CommandLine.Parameters;
 import stagepier.lab.hunt.Grammar;
 import stagepier.lab.hunt.Hunt;
-import stagepier.lab.hunt.Player;
+import stagepier.lab.hunt.ScheduleRunner;
 import stagepier.lab.report.Summary;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
 
@@ -59,7 +59,7 @@
     private Path router;
 
     @Override
-    public Integer call() throws IOException, InterruptedException, BadScenarioException {
+    public Integer call() throws IOException, InterruptedException, InvalidScenarioException {
         for (int n : new int[] {seeds, plays, tries}) {
             if (n < 1 || n > 100_000) {
                 throw new CommandLine.ParameterException(
@@ -109,7 +109,7 @@
         return Cli.BROKEN;
     }
 
-    private Player player(String base, Scenario scenario, long seed, Path folder) {
+    private ScheduleRunner player(String base, Scenario scenario, long seed, Path folder) {
         return schedule -> {
             try {
                 Scenario drawn = ScenarioReader.parse(scenario.name() + ".toml", Hunt.replay(base, schedule));
@@ -126,7 +126,7 @@
                 return broken;
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
-            } catch (BadScenarioException e) {
+            } catch (InvalidScenarioException e) {
                 throw new IllegalStateException("a schedule that makes no scenario: " + e.getMessage(), e);
             }
         };
--- a/lab/src/main/java/stagepier/lab/cli/Lab.java
+++ b/lab/src/main/java/stagepier/lab/cli/Lab.java
@@ -18,7 +18,7 @@
 import stagepier.lab.report.ResultFolder;
 import stagepier.lab.report.RunResult;
 import stagepier.lab.report.Summary;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
 import stagepier.lab.standin.RelayCost;
@@ -68,7 +68,7 @@
             @Option(names = "--out", description = "folder of the results (results/SCENARIO)") Path out,
             @Option(names = "--json", description = "prints the summaries as JSON") boolean json,
             @Option(names = "--router", description = "the router's jar") Path router)
-            throws IOException, InterruptedException, BadScenarioException {
+            throws IOException, InterruptedException, InvalidScenarioException {
         if (repeat < 1 || repeat > 1000) {
             throw new CommandLine.ParameterException(spec.commandLine(), "--repeat must lie between 1 and 1000");
         }
@@ -107,7 +107,7 @@
     int relayCost(
             @Option(names = "--round-trips", defaultValue = "5000", description = "of each (${DEFAULT-VALUE})")
                     int trips)
-            throws IOException, InterruptedException, BadScenarioException {
+            throws IOException, InterruptedException, InvalidScenarioException {
         if (trips < 100 || trips > 1_000_000) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "--round-trips must lie between 100 and 1000000");
@@ -144,7 +144,7 @@
                             s.routers(),
                             s.demand().rate(),
                             s.about());
-                } catch (BadScenarioException e) {
+                } catch (InvalidScenarioException e) {
                     to.println(e.getMessage());
                     all = false;
                 }
--- a/lab/src/main/java/stagepier/lab/cli/ScaleDiscoveryCommand.java
+++ b/lab/src/main/java/stagepier/lab/cli/ScaleDiscoveryCommand.java
@@ -12,9 +12,9 @@
 import stagepier.lab.scale.discovery.DiscoveryRun;
 import stagepier.lab.scale.discovery.DiscoverySetting;
 import stagepier.lab.scale.discovery.DiscoveryTable;
-import stagepier.lab.scale.discovery.RoomCheck;
+import stagepier.lab.scale.discovery.ResourceCheck;
 import stagepier.lab.scale.discovery.WatchTimes;
-import stagepier.lab.standin.ServiceManners;
+import stagepier.lab.standin.DiscoveryBehaviour;
 
 /** Measures what one discovery service meets under the watches of a whole fleet. */
 @Command(
@@ -105,7 +105,7 @@
     public Integer call() throws IOException, InterruptedException {
         check();
         for (int size : watches) {
-            RoomCheck.check(size);
+            ResourceCheck.check(size);
         }
         List<Sample> samples = new ArrayList<>();
         List<String> invalid = new ArrayList<>();
@@ -133,10 +133,10 @@
         return invalid.isEmpty() ? 0 : Cli.BROKEN;
     }
 
-    private ServiceManners manners() {
+    private DiscoveryBehaviour manners() {
         return mode == Mode.PUSH
-                ? ServiceManners.PUSHED
-                : new ServiceManners(
+                ? DiscoveryBehaviour.PUSHED
+                : new DiscoveryBehaviour(
                         true,
                         callMs * MILLISECONDS,
                         lineMs * MILLISECONDS,
--- a/lab/src/main/java/stagepier/lab/cli/ThroughputCommand.java
+++ b/lab/src/main/java/stagepier/lab/cli/ThroughputCommand.java
@@ -14,7 +14,7 @@
 import stagepier.lab.fleet.DeploymentCommand;
 import stagepier.lab.scale.ThroughputMeasurement;
 import stagepier.lab.scale.ThroughputPoint;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 
 /** Measures how many requests, and how many bytes of values, one router passes on at which part of a core. */
 @Command(
@@ -59,7 +59,7 @@
     private record Results(String command, int cpuCores, List<ThroughputPoint> points) {}
 
     @Override
-    public Integer call() throws IOException, InterruptedException, BadScenarioException {
+    public Integer call() throws IOException, InterruptedException, InvalidScenarioException {
         check();
         Path folder = Files.createDirectories(out.toAbsolutePath());
         ThroughputMeasurement measurement = new ThroughputMeasurement(DeploymentCommand.read(Lab.root()), folder);
--- a/lab/src/main/java/stagepier/lab/fleet/EvidenceCollector.java
+++ b/lab/src/main/java/stagepier/lab/fleet/EvidenceCollector.java
@@ -16,18 +16,18 @@
 import stagepier.lab.check.Span;
 import stagepier.lab.check.Timeline;
 import stagepier.lab.check.Verdict;
-import stagepier.lab.ledger.Breach;
 import stagepier.lab.ledger.Event;
+import stagepier.lab.ledger.Violation;
+import stagepier.lab.scenario.FleetScenario;
 import stagepier.lab.scenario.Scenario;
-import stagepier.lab.scenario.Together;
 
 /** Brings together what a run left behind, for the checker. */
-final class Judgement {
+final class EvidenceCollector {
     private final Scenario scenario;
     private final Path folder;
     private final List<Evidence.Proposal> proposals = new ArrayList<>();
 
-    Judgement(Scenario scenario, Path folder) {
+    EvidenceCollector(Scenario scenario, Path folder) {
         this.scenario = scenario;
         this.folder = folder;
     }
@@ -47,9 +47,9 @@
             long zero,
             double start,
             double until,
-            Timeline.Hearing hearing,
+            Timeline.Connectivity hearing,
             List<Event> events,
-            List<Breach> breaches,
+            List<Violation> breaches,
             Map<Integer, List<Long>> traffic)
             throws IOException {
         List<HistoryEntry> told = new ArrayList<>();
@@ -69,7 +69,7 @@
                 throw new IOException(wrong.get(0));
             }
         }
-        Together t = scenario.together();
+        FleetScenario t = scenario.together();
         Timeline timeline =
                 new Timeline(scenario.routers(), still(events, scenario.routers(), start, until), hearing, until);
         return Checker.judge(new Evidence(
@@ -79,10 +79,10 @@
                 until,
                 List.copyOf(proposals),
                 new Evidence.Limits(t.lease(), t.skew(), t.trafficMost(), t.copiesBudget()),
-                new Evidence.Seen(
+                new Evidence.Observations(
                         breaches.stream()
-                                .filter(b -> b.rule() == Breach.Rule.DRAINS)
-                                .map(Breach::toString)
+                                .filter(b -> b.rule() == Violation.Rule.DRAINS)
+                                .map(Violation::toString)
                                 .toList(),
                         traffic,
                         List.of())));
--- a/lab/src/main/java/stagepier/lab/fleet/Experiment.java
+++ b/lab/src/main/java/stagepier/lab/fleet/Experiment.java
@@ -16,18 +16,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import stagepier.lab.check.Verdict;
-import stagepier.lab.ledger.Breach;
 import stagepier.lab.ledger.Event;
 import stagepier.lab.ledger.Ledger;
+import stagepier.lab.ledger.Violation;
 import stagepier.lab.measure.Series;
 import stagepier.lab.model.Arrivals;
 import stagepier.lab.model.OriginModel;
-import stagepier.lab.model.Planned;
+import stagepier.lab.model.PlannedRequest;
 import stagepier.lab.model.Randoms;
 import stagepier.lab.report.RunResult;
 import stagepier.lab.scenario.Fault;
+import stagepier.lab.scenario.FleetScenario;
 import stagepier.lab.scenario.Scenario;
-import stagepier.lab.scenario.Together;
 import stagepier.lab.standin.Clients;
 import stagepier.lab.standin.Fleet;
 import stagepier.lab.standin.LabClock;
@@ -39,7 +39,7 @@
  */
 public final class Experiment implements AutoCloseable {
     /** What can be seen while it runs. */
-    public record Progress(double seconds, Series series, Fleet.Glance glance) {}
+    public record Progress(double seconds, Series series, Fleet.StatusSnapshot glance) {}
 
     /** Later than this at the 99th percentile, the generator was too slow for what it had to send. */
     private static final long LAG_MOST_US = 20_000;
@@ -70,7 +70,7 @@
     private final List<RouterProcess> routers = new ArrayList<>();
     private final Thread atExit = new Thread(this::killAll, "end-routers");
     private final FleetFiles files;
-    private final Judgement judgement;
+    private final EvidenceCollector judgement;
     private Fleet fleet;
     private Clients clients;
 
@@ -85,7 +85,7 @@
         this.folder = folder;
         randoms = new Randoms(seed);
         files = new FleetFiles(scenario, folder);
-        judgement = new Judgement(scenario, folder);
+        judgement = new EvidenceCollector(scenario, folder);
         // Whatever ends this process, no router outlives it.
         Runtime.getRuntime().addShutdownHook(atExit);
     }
@@ -110,7 +110,7 @@
         for (RouterProcess router : routers) {
             ready.add(router.awaitReady());
         }
-        List<Planned> plan = Arrivals.draw(randoms, scenario.demand(), scenario.kinds());
+        List<PlannedRequest> plan = Arrivals.draw(randoms, scenario.demand(), scenario.kinds());
         clients = new Clients(
                 clientLoop,
                 clock,
@@ -151,7 +151,7 @@
                 series.executed(Math.max(0, a.at() - clients.startedAt()));
             }
         });
-        List<Breach> breaches = new Ledger(scenario.kinds(), Scenario.DRAIN_GRACE).judge(recorder.all(), until);
+        List<Violation> breaches = new Ledger(scenario.kinds(), Scenario.DRAIN_GRACE).judge(recorder.all(), until);
         List<Verdict> verdicts = scenario.together() == null
                 ? List.of()
                 : judgement.verdicts(clock.zero(), from, until, fleet::hears, recorder.all(), breaches, traffic);
@@ -185,19 +185,19 @@
     }
 
     private void proposeLater(Instant startOfLoad) {
-        for (Together.Proposal p : scenario.together() == null
-                ? List.<Together.Proposal>of()
+        for (FleetScenario.Proposal p : scenario.together() == null
+                ? List.<FleetScenario.Proposal>of()
                 : scenario.together().proposals()) {
             later(p.at(), () -> p.routers().forEach(r -> propose(p, r, startOfLoad)));
         }
-        for (Together.Candidate c : scenario.together() == null
-                ? List.<Together.Candidate>of()
+        for (FleetScenario.Candidate c : scenario.together() == null
+                ? List.<FleetScenario.Candidate>of()
                 : scenario.together().candidates()) {
             later(c.at(), () -> c.routers().forEach(r -> reread(c, r)));
         }
     }
 
-    private void reread(Together.Candidate candidate, int r) {
+    private void reread(FleetScenario.Candidate candidate, int r) {
         try {
             files.candidate(r, candidate.text());
             routers.get(r).reload();
@@ -206,7 +206,7 @@
         }
     }
 
-    private void propose(Together.Proposal proposal, int r, Instant startOfLoad) {
+    private void propose(FleetScenario.Proposal proposal, int r, Instant startOfLoad) {
         try {
             files.propose(r, proposal.windows(), startOfLoad);
             judgement.proposed(clock.now(), r);
@@ -218,7 +218,7 @@
 
     private void look(Clients clients, double from, long[] fetchesBefore, Consumer<Progress> watcher) {
         try {
-            Fleet.Glance glance = fleet.glance();
+            Fleet.StatusSnapshot glance = fleet.glance();
             long fetched = glance.fetches() - fetchesBefore[0];
             fetchesBefore[0] = glance.fetches();
             double seconds = clock.now() - from;
@@ -288,7 +288,7 @@
 
     /** Something that is no answer at all, and wrong. */
     private void stray(int r, String what) {
-        recorder.add(new Event.Stray(clock.now(), r, "(" + what + ")"));
+        recorder.add(new Event.UnexpectedLine(clock.now(), r, "(" + what + ")"));
     }
 
     private void later(double seconds, Runnable what) {
@@ -318,7 +318,7 @@
             String id = fleet.id(node);
             for (int r = 0; r < routers.size(); r++) {
                 if (routers.get(r).says(word + " " + id)) {
-                    recorder.add(new Event.Staff(clock.now(), r, node, out));
+                    recorder.add(new Event.OperatorChange(clock.now(), r, node, out));
                 } else {
                     stray(r, word + " " + id + " was not answered with yes in 1 s");
                 }
--- a/lab/src/main/java/stagepier/lab/fleet/FleetFiles.java
+++ b/lab/src/main/java/stagepier/lab/fleet/FleetFiles.java
@@ -8,8 +8,8 @@
 import java.time.format.DateTimeFormatter;
 import java.util.List;
 import java.util.Map;
+import stagepier.lab.scenario.FleetScenario;
 import stagepier.lab.scenario.Scenario;
-import stagepier.lab.scenario.Together;
 import stagepier.lab.standin.Fleet;
 
 /**
@@ -29,7 +29,7 @@
 
     /** Writes those of one router, and tells what its process has to find in its environment. */
     Map<String, String> write(int router, Fleet doors) throws IOException {
-        Together t = scenario.together();
+        FleetScenario t = scenario.together();
         StringBuilder text = new StringBuilder("listen = \"127.0.0.1:%d\"%nlease_ms = %d%nskew_ms = %d%n"
                 .formatted(doors.door(router, router), Math.round(t.lease() * 1e3), Math.round(t.skew() * 1e3)));
         if (t.hasCalendar()) {
@@ -58,14 +58,14 @@
     }
 
     /** Writes a router's calendar anew, for when it reads it next. */
-    void propose(int router, List<Together.Window> windows, Instant startOfLoad) throws IOException {
+    void propose(int router, List<FleetScenario.Window> windows, Instant startOfLoad) throws IOException {
         Files.writeString(calendar(router), text(windows, startOfLoad));
     }
 
     /** Windows begin and end at whole seconds: the first is rounded down, the last up. */
-    static String text(List<Together.Window> windows, Instant startOfLoad) {
+    static String text(List<FleetScenario.Window> windows, Instant startOfLoad) {
         StringBuilder text = new StringBuilder("zone = \"UTC\"\n");
-        for (Together.Window w : windows) {
+        for (FleetScenario.Window w : windows) {
             text.append(
                     "%n[[window]]%nname = \"%s\"%nstart = %s%nend = %s%nscope = \"%s\"%nreason = \"played by the lab\"%n"
                             .formatted(
--- a/lab/src/main/java/stagepier/lab/hunt/Hunt.java
+++ b/lab/src/main/java/stagepier/lab/hunt/Hunt.java
@@ -23,8 +23,8 @@
 
     /** Who plays a seed's schedules. */
     @FunctionalInterface
-    public interface Players {
-        Player of(long seed);
+    public interface ScheduleRunners {
+        ScheduleRunner of(long seed);
     }
 
     private Hunt() {}
@@ -44,11 +44,11 @@
      * @return null where none failed
      */
     public static Found run(
-            Grammar grammar, Players players, long first, int seeds, int playsMost, Consumer<String> watcher)
+            Grammar grammar, ScheduleRunners players, long first, int seeds, int playsMost, Consumer<String> watcher)
             throws InterruptedException {
         for (long seed = first; seed < first + seeds; seed++) {
             List<Step> schedule = grammar.draw(seed);
-            Player player = players.of(seed);
+            ScheduleRunner player = players.of(seed);
             Set<String> broken = player.play(schedule);
             watcher.accept("seed %d: %d faults, %s"
                     .formatted(seed, schedule.size(), broken.isEmpty() ? "kept" : "broken: " + broken));
--- a/lab/src/main/java/stagepier/lab/hunt/Shrinker.java
+++ b/lab/src/main/java/stagepier/lab/hunt/Shrinker.java
@@ -12,7 +12,7 @@
     private static final double SHORTEST = 0.5;
     private static final double EARLIEST = 2;
 
-    private final Player player;
+    private final ScheduleRunner player;
     private final Set<String> broken;
     private final int playsMost;
     private int plays;
@@ -21,7 +21,7 @@
      * @param broken    what the schedule broke: one of these has to break again
      * @param playsMost after so many plays the smallest found so far is what there is
      */
-    public Shrinker(Player player, Set<String> broken, int playsMost) {
+    public Shrinker(ScheduleRunner player, Set<String> broken, int playsMost) {
         this.player = player;
         this.broken = Set.copyOf(broken);
         this.playsMost = playsMost;
--- a/lab/src/main/java/stagepier/lab/ledger/Event.java
+++ b/lab/src/main/java/stagepier/lab/ledger/Event.java
@@ -8,7 +8,7 @@
     double at();
 
     /** A client wrote the last byte of a request. {@code deadline}: seconds that it will wait from then on. */
-    record Asked(double at, long request, int router, int kind, long key, double deadline) implements Event {}
+    record RequestSent(double at, long request, int router, int kind, long key, double deadline) implements Event {}
 
     /** How a request ended at its client. */
     enum End {
@@ -26,19 +26,19 @@
     record Ended(double at, long request, End end, long token) implements Event {}
 
     /** A line came that answers nothing that was asked on that connection, or a second answer. */
-    record Stray(double at, int router, String line) implements Event {}
+    record UnexpectedLine(double at, int router, String line) implements Event {}
 
     /** A whole request arrived at a cache node, which will run it or turn it away. */
     record Arrived(double at, double firstByteAt, long request, int router, int node, boolean runs) implements Event {}
 
     /** A cache node made an answer for a request. */
-    record Made(double at, long request, int node, long token) implements Event {}
+    record AnswerMade(double at, long request, int node, long token) implements Event {}
 
     /** Discovery wrote to a router that a node drains or is gone ({@code usable} false), or that it may be used. */
-    record Told(double at, int router, int node, boolean usable) implements Event {}
+    record Announced(double at, int router, int node, boolean usable) implements Event {}
 
     /** A router has told staff that a node is out, or that it is back; whatever discovery says, that holds. */
-    record Staff(double at, int router, int node, boolean out) implements Event {}
+    record OperatorChange(double at, int router, int node, boolean out) implements Event {}
 
     /** A router was killed or ended, or is up again. */
     record Router(double at, int router, boolean up) implements Event {}
@@ -47,7 +47,7 @@
     record Stalled(double at, int router, boolean stalled) implements Event {}
 
     /** A cold node was pushed over. */
-    record Fell(double at, int node) implements Event {}
+    record NodeOverloaded(double at, int node) implements Event {}
 
     /** The origin stopped. {@code coldPart}: part of what it was sent that came from cold nodes. */
     record Stopped(double at, double coldPart) implements Event {}
--- a/lab/src/main/java/stagepier/lab/ledger/Ledger.java
+++ b/lab/src/main/java/stagepier/lab/ledger/Ledger.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import stagepier.lab.ledger.Breach.Rule;
+import stagepier.lab.ledger.Violation.Rule;
 import stagepier.lab.model.RequestKind;
 
 /**
@@ -23,7 +23,7 @@
 
     private final List<RequestKind> kinds;
     private final double drainGrace;
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<Violation> breaches = new ArrayList<>();
     private final Map<Long, Story> stories = new HashMap<>();
     private final Map<Integer, TreeMap<Double, Boolean>> routerUp = new HashMap<>();
     private final Map<Integer, TreeMap<Double, Boolean>> goesOn = new HashMap<>();
@@ -35,7 +35,7 @@
 
     /** All that is known of one request. */
     private static final class Story {
-        private Event.Asked asked;
+        private Event.RequestSent asked;
         private final List<Event.Arrived> runs = new ArrayList<>();
         private final List<Event.Ended> ends = new ArrayList<>();
         private final Set<Long> made = new TreeSet<>();
@@ -51,10 +51,10 @@
     }
 
     /** All breaches in the order of time. {@code until}: when the run ended; what was still open then is no breach. */
-    public List<Breach> judge(List<Event> events, double until) {
+    public List<Violation> judge(List<Event> events, double until) {
         events.stream().sorted(Comparator.comparingDouble(Event::at)).forEach(this::take);
         stories.forEach((id, story) -> judge(id, story, until));
-        breaches.sort(Comparator.comparingDouble(Breach::at));
+        breaches.sort(Comparator.comparingDouble(Violation::at));
         return List.copyOf(breaches);
     }
 
@@ -63,22 +63,22 @@
     }
 
     private void take(Event event) {
-        if (event instanceof Event.Asked e) {
+        if (event instanceof Event.RequestSent e) {
             story(e.request()).asked = e;
         } else if (event instanceof Event.Ended e) {
             story(e.request()).ends.add(e);
         } else if (event instanceof Event.Arrived e) {
             arrived(e);
-        } else if (event instanceof Event.Made e) {
+        } else if (event instanceof Event.AnswerMade e) {
             story(e.request()).made.add(e.token());
-        } else if (event instanceof Event.Told e) {
+        } else if (event instanceof Event.Announced e) {
             Map<Integer, Double> of = unusableSince.computeIfAbsent(e.router(), r -> new HashMap<>());
             if (e.usable()) {
                 of.remove(e.node());
             } else {
                 of.putIfAbsent(e.node(), e.at());
             }
-        } else if (event instanceof Event.Staff e) {
+        } else if (event instanceof Event.OperatorChange e) {
             Map<Integer, Double> of = outSince.computeIfAbsent(e.router(), r -> new HashMap<>());
             if (e.out()) {
                 of.putIfAbsent(e.node(), e.at());
@@ -93,12 +93,12 @@
             }
         } else if (event instanceof Event.Stalled e) {
             goesOn.computeIfAbsent(e.router(), r -> new TreeMap<>()).put(e.at(), !e.stalled());
-        } else if (event instanceof Event.Stray e) {
+        } else if (event instanceof Event.UnexpectedLine e) {
             breach(
                     Rule.ONE_ANSWER,
                     e.at(),
                     "router %d said '%s', which answers nothing".formatted(e.router(), e.line()));
-        } else if (event instanceof Event.Fell e) {
+        } else if (event instanceof Event.NodeOverloaded e) {
             breach(
                     Rule.COLD_NODES,
                     e.at(),
@@ -148,7 +148,7 @@
     }
 
     private void judgeAnswer(long id, Story story, double until) {
-        Event.Asked asked = story.asked;
+        Event.RequestSent asked = story.asked;
         double due = asked.at() + asked.deadline() + SLACK;
         if (story.ends.size() > 1) {
             breach(
@@ -246,6 +246,6 @@
     }
 
     private void breach(Rule rule, double at, String what) {
-        breaches.add(new Breach(rule, at, what));
+        breaches.add(new Violation(rule, at, what));
     }
 }
--- a/lab/src/main/java/stagepier/lab/ledger/Violation.java
+++ b/lab/src/main/java/stagepier/lab/ledger/Violation.java
@@ -1,7 +1,7 @@
 package stagepier.lab.ledger;
 
 /** One broken rule: which, when, and who had part in it. */
-public record Breach(Rule rule, double at, String what) {
+public record Violation(Rule rule, double at, String what) {
     /** The rules that a run is held to. */
     public enum Rule {
         ONE_ANSWER,
--- a/lab/src/main/java/stagepier/lab/measure/Series.java
+++ b/lab/src/main/java/stagepier/lab/measure/Series.java
@@ -10,7 +10,7 @@
  */
 public final class Series {
     /** How a request ended for its user, over all its tries. */
-    public enum Fate {
+    public enum RequestOutcome {
         IN_TIME,
         LATE,
         REFUSED,
@@ -20,7 +20,7 @@
 
     /** One second. */
     public static final class Second {
-        private final long[] fates = new long[Fate.values().length];
+        private final long[] fates = new long[RequestOutcome.values().length];
         private double worthAsked;
         private double worthServed;
         private long executions;
@@ -28,7 +28,7 @@
         private long held;
         private final Histogram latency = new Histogram(60_000_000, 3);
 
-        public long of(Fate fate) {
+        public long of(RequestOutcome fate) {
             return fates[fate.ordinal()];
         }
 
@@ -81,14 +81,14 @@
     }
 
     /** A request has ended. {@code planned}: seconds after the start; {@code took}: seconds since then. */
-    public void ended(double planned, double took, double worth, Fate fate) {
+    public void ended(double planned, double took, double worth, RequestOutcome fate) {
         Second s = at(planned);
         s.fates[fate.ordinal()]++;
         s.worthAsked += worth;
-        if (fate == Fate.IN_TIME) {
+        if (fate == RequestOutcome.IN_TIME) {
             s.worthServed += worth;
         }
-        if (fate == Fate.IN_TIME || fate == Fate.LATE) {
+        if (fate == RequestOutcome.IN_TIME || fate == RequestOutcome.LATE) {
             long micros = Math.max(1, Math.min(60_000_000, Math.round(took * 1e6)));
             s.latency.recordValue(micros);
             latency.recordValue(micros);
@@ -115,7 +115,7 @@
         return latency;
     }
 
-    public long total(Fate fate) {
+    public long total(RequestOutcome fate) {
         return seconds.stream().mapToLong(s -> s.of(fate)).sum();
     }
 
--- a/lab/src/main/java/stagepier/lab/model/Arrivals.java
+++ b/lab/src/main/java/stagepier/lab/model/Arrivals.java
@@ -41,14 +41,14 @@
     private Arrivals() {}
 
     /** The plan, in the order of time; the same for the same seed and demand. */
-    public static List<Planned> draw(Randoms randoms, Demand d, List<RequestKind> kinds) {
+    public static List<PlannedRequest> draw(Randoms randoms, Demand d, List<RequestKind> kinds) {
         UniformRandomProvider times = randoms.of("arrivals");
         UniformRandomProvider rest = randoms.of("requests");
         KeySource keys = new KeySource(randoms.of("keys"), d.keys(), d.zipf(), d.drift());
         double most = d.rate()
                 * (d.shape() == Shape.STEADY ? 1 : d.shape() == Shape.WAVE ? 1 + d.swing() : Math.max(1, d.swing()));
         double[] routers = routerShares(d);
-        List<Planned> plan = new ArrayList<>((int) (d.rate() * d.seconds() * 1.1) + 16);
+        List<PlannedRequest> plan = new ArrayList<>((int) (d.rate() * d.seconds() * 1.1) + 16);
         double at = 0;
         while (true) {
             at += -Math.log(1 - times.nextDouble()) / most;
@@ -57,7 +57,7 @@
             }
             // Thinned: a Poisson process of the highest rate of which some are passed over.
             if (times.nextDouble() * most < rateAt(d, at)) {
-                plan.add(new Planned(
+                plan.add(new PlannedRequest(
                         plan.size(),
                         at,
                         pick(routers, rest.nextDouble()),
--- a/lab/src/main/java/stagepier/lab/model/PlannedRequest.java
+++ b/lab/src/main/java/stagepier/lab/model/PlannedRequest.java
@@ -10,4 +10,4 @@
  * @param key    what it concerns
  * @param tenant index of its tenant
  */
-public record Planned(int index, double at, int router, int kind, long key, int tenant) {}
+public record PlannedRequest(int index, double at, int router, int kind, long key, int tenant) {}
--- a/lab/src/main/java/stagepier/lab/nemesis/LinkConditions.java
+++ b/lab/src/main/java/stagepier/lab/nemesis/LinkConditions.java
@@ -12,17 +12,18 @@
  * @param reordered  part that is held back so long that later ones overtake it
  * @param cut        part of a stream's pieces in the middle of which its connection is reset
  */
-public record Treatment(double lost, double delay, double jitter, double duplicated, double reordered, double cut) {
+public record LinkConditions(
+        double lost, double delay, double jitter, double duplicated, double reordered, double cut) {
     /** Nothing is done. */
-    public static final Treatment NONE = new Treatment(0, 0, 0, 0, 0, 0);
+    public static final LinkConditions NONE = new LinkConditions(0, 0, 0, 0, 0, 0);
     /** Nothing arrives. */
-    public static final Treatment SILENCE = new Treatment(1, 0, 0, 0, 0, 0);
+    public static final LinkConditions DROP_ALL = new LinkConditions(1, 0, 0, 0, 0, 0);
     /** Seconds by which one that is reordered, or the second of two alike, comes later. */
-    public static final double OVERTAKEN = 0.1;
+    public static final double REORDER_DELAY = 0.1;
 
     /** Both at a time. */
-    public Treatment and(Treatment o) {
-        return new Treatment(
+    public LinkConditions and(LinkConditions o) {
+        return new LinkConditions(
                 either(lost, o.lost),
                 delay + o.delay,
                 jitter + o.jitter,
@@ -42,8 +43,8 @@
     /** After how many seconds each copy of a datagram arrives; empty where it is lost. Always draws as often. */
     public double[] deliveries(UniformRandomProvider random) {
         boolean isLost = random.nextDouble() < lost;
-        double late = delay + random.nextDouble() * jitter + (random.nextDouble() < reordered ? OVERTAKEN : 0);
+        double late = delay + random.nextDouble() * jitter + (random.nextDouble() < reordered ? REORDER_DELAY : 0);
         boolean twice = random.nextDouble() < duplicated;
-        return isLost ? new double[] {} : twice ? new double[] {late, late + OVERTAKEN} : new double[] {late};
+        return isLost ? new double[] {} : twice ? new double[] {late, late + REORDER_DELAY} : new double[] {late};
     }
 }
--- a/lab/src/main/java/stagepier/lab/nemesis/LinkFault.java
+++ b/lab/src/main/java/stagepier/lab/nemesis/LinkFault.java
@@ -61,27 +61,27 @@
     }
 
     /** What it does at that time to what goes from one party to another on that link. */
-    Treatment on(Link link, int from, int to, double now) {
+    LinkConditions on(Link link, int from, int to, double now) {
         if (now < at || now >= until() || !links.contains(link)) {
-            return Treatment.NONE;
+            return LinkConditions.NONE;
         }
         boolean there = isInA(from) && isInB(to);
         boolean apart = there || isInA(to) && isInB(from);
         return switch (shape) {
-            case PARTITION, BRIDGE -> apart ? Treatment.SILENCE : Treatment.NONE;
-            case FLAP -> apart && (now - at) % period < period / 2 ? Treatment.SILENCE : Treatment.NONE;
-            case ONE_WAY -> there ? Treatment.SILENCE : Treatment.NONE;
-            case SLOW -> isInA(from) || isInA(to) ? late() : Treatment.NONE;
-            case DELAY -> apart ? late() : Treatment.NONE;
-            case DROP -> apart ? new Treatment(part, 0, 0, 0, 0, 0) : Treatment.NONE;
-            case DUPLICATE -> apart ? new Treatment(0, 0, 0, part, 0, 0) : Treatment.NONE;
-            case REORDER -> apart ? new Treatment(0, 0, 0, 0, part, 0) : Treatment.NONE;
-            case CUT -> apart ? new Treatment(0, 0, 0, 0, 0, part) : Treatment.NONE;
+            case PARTITION, BRIDGE -> apart ? LinkConditions.DROP_ALL : LinkConditions.NONE;
+            case FLAP -> apart && (now - at) % period < period / 2 ? LinkConditions.DROP_ALL : LinkConditions.NONE;
+            case ONE_WAY -> there ? LinkConditions.DROP_ALL : LinkConditions.NONE;
+            case SLOW -> isInA(from) || isInA(to) ? late() : LinkConditions.NONE;
+            case DELAY -> apart ? late() : LinkConditions.NONE;
+            case DROP -> apart ? new LinkConditions(part, 0, 0, 0, 0, 0) : LinkConditions.NONE;
+            case DUPLICATE -> apart ? new LinkConditions(0, 0, 0, part, 0, 0) : LinkConditions.NONE;
+            case REORDER -> apart ? new LinkConditions(0, 0, 0, 0, part, 0) : LinkConditions.NONE;
+            case CUT -> apart ? new LinkConditions(0, 0, 0, 0, 0, part) : LinkConditions.NONE;
         };
     }
 
-    private Treatment late() {
-        return new Treatment(0, delay, jitter, 0, 0, 0);
+    private LinkConditions late() {
+        return new LinkConditions(0, delay, jitter, 0, 0, 0);
     }
 
     private boolean isInA(int party) {
--- a/lab/src/main/java/stagepier/lab/nemesis/Nemesis.java
+++ b/lab/src/main/java/stagepier/lab/nemesis/Nemesis.java
@@ -33,8 +33,8 @@
     }
 
     /** What is done now to what goes from one party to another. */
-    public Treatment treatment(Link link, int from, int to, double now) {
-        Treatment all = Treatment.NONE;
+    public LinkConditions treatment(Link link, int from, int to, double now) {
+        LinkConditions all = LinkConditions.NONE;
         for (LinkFault fault : faults) {
             all = all.and(fault.on(link, from, to, now - startedAt));
         }
@@ -54,7 +54,7 @@
 
     /** Seconds by which a piece of a stream that passes now is late. */
     public double lateness(Link link, int from, int to, double now) {
-        Treatment t = treatment(link, from, to, now);
+        LinkConditions t = treatment(link, from, to, now);
         return t.delay() + (t.jitter() > 0 ? t.jitter() * chance(link, from, to).nextDouble() : 0);
     }
 
--- a/lab/src/main/java/stagepier/lab/report/Charts.java
+++ b/lab/src/main/java/stagepier/lab/report/Charts.java
@@ -59,11 +59,11 @@
                 "How requests ended",
                 "requests a second",
                 List.of(
-                        new Line("in time", s -> s.of(Series.Fate.IN_TIME)),
-                        new Line("late", s -> s.of(Series.Fate.LATE)),
-                        new Line("refused", s -> s.of(Series.Fate.REFUSED)),
-                        new Line("failed", s -> s.of(Series.Fate.FAILED)),
-                        new Line("unanswered", s -> s.of(Series.Fate.UNANSWERED))));
+                        new Line("in time", s -> s.of(Series.RequestOutcome.IN_TIME)),
+                        new Line("late", s -> s.of(Series.RequestOutcome.LATE)),
+                        new Line("refused", s -> s.of(Series.RequestOutcome.REFUSED)),
+                        new Line("failed", s -> s.of(Series.RequestOutcome.FAILED)),
+                        new Line("unanswered", s -> s.of(Series.RequestOutcome.UNANSWERED))));
         chart(
                 r,
                 folder,
--- a/lab/src/main/java/stagepier/lab/report/ResultFolder.java
+++ b/lab/src/main/java/stagepier/lab/report/ResultFolder.java
@@ -55,7 +55,7 @@
         for (int i = 0; i < series.seconds().size(); i++) {
             Series.Second s = series.seconds().get(i);
             b.append(i).append(',').append(s.offered());
-            for (Series.Fate fate : Series.Fate.values()) {
+            for (Series.RequestOutcome fate : Series.RequestOutcome.values()) {
                 b.append(',').append(s.of(fate));
             }
             b.append(String.format(
--- a/lab/src/main/java/stagepier/lab/report/RunResult.java
+++ b/lab/src/main/java/stagepier/lab/report/RunResult.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 import stagepier.lab.check.Verdict;
-import stagepier.lab.ledger.Breach;
+import stagepier.lab.ledger.Violation;
 import stagepier.lab.measure.Series;
 import stagepier.lab.model.OriginModel;
 import stagepier.lab.scenario.Scenario;
@@ -27,7 +27,7 @@
         Scenario scenario,
         long seed,
         Series series,
-        List<Breach> breaches,
+        List<Violation> breaches,
         boolean valid,
         Histogram lag,
         List<Double> readySeconds,
--- a/lab/src/main/java/stagepier/lab/report/Summary.java
+++ b/lab/src/main/java/stagepier/lab/report/Summary.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import stagepier.lab.check.Verdict;
-import stagepier.lab.ledger.Breach;
+import stagepier.lab.ledger.Violation;
 import stagepier.lab.measure.Series;
 
 /**
@@ -56,7 +56,7 @@
 
     public static Summary of(RunResult r) {
         Map<String, Long> fates = new LinkedHashMap<>();
-        for (Series.Fate fate : Series.Fate.values()) {
+        for (Series.RequestOutcome fate : Series.RequestOutcome.values()) {
             fates.put(fate.name().toLowerCase(java.util.Locale.ROOT), r.series().total(fate));
         }
         Map<String, Long> causes = new LinkedHashMap<>();
@@ -70,7 +70,7 @@
                 r.valid(),
                 Stream.concat(
                                 r.verdicts().stream().filter(Verdict::isBroken).map(Verdict::toString),
-                                r.breaches().stream().limit(BREACHES_KEPT).map(Breach::toString))
+                                r.breaches().stream().limit(BREACHES_KEPT).map(Violation::toString))
                         .toList(),
                 r.series().offered(),
                 fates,
--- a/lab/src/main/java/stagepier/lab/scale/MachineResources.java
+++ b/lab/src/main/java/stagepier/lab/scale/MachineResources.java
@@ -11,10 +11,10 @@
  * @param descriptors that this process may open
  * @param ports       that the system gives out by itself at one address
  */
-record MachineRoom(long memory, long descriptors, int ports) {
+record MachineResources(long memory, long descriptors, int ports) {
     private static final int KILOBYTE = 1024;
 
-    static MachineRoom read() throws IOException {
+    static MachineResources read() throws IOException {
         long memory = KILOBYTE * firstNumber(Path.of("/proc/meminfo"), "MemAvailable:");
         long descriptors = firstNumber(Path.of("/proc/self/limits"), "Max open files");
         // These files are whole in one read only: what is read bit by bit ends after the first.
@@ -22,7 +22,7 @@
                 .get(0)
                 .trim()
                 .split("\\s+");
-        return new MachineRoom(memory, descriptors, Integer.parseInt(range[1]) - Integer.parseInt(range[0]) + 1);
+        return new MachineResources(memory, descriptors, Integer.parseInt(range[1]) - Integer.parseInt(range[0]) + 1);
     }
 
     private static long firstNumber(Path file, String from) throws IOException {
--- a/lab/src/main/java/stagepier/lab/scale/RealRouters.java
+++ b/lab/src/main/java/stagepier/lab/scale/RealRouters.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import stagepier.lab.fleet.RouterProcess;
-import stagepier.lab.measure.Series.Fate;
+import stagepier.lab.measure.Series.RequestOutcome;
 import stagepier.lab.model.Arrivals;
 import stagepier.lab.model.Randoms;
 import stagepier.lab.scenario.Scenario;
@@ -176,8 +176,8 @@
     /** Requests that have been answered with a value so far. */
     long answered() throws InterruptedException {
         return clientLoop
-                .submit(() ->
-                        clients.series().total(Fate.IN_TIME) + clients.series().total(Fate.LATE))
+                .submit(() -> clients.series().total(RequestOutcome.IN_TIME)
+                        + clients.series().total(RequestOutcome.LATE))
                 .await()
                 .getNow();
     }
--- a/lab/src/main/java/stagepier/lab/scale/ReportSchedule.java
+++ b/lab/src/main/java/stagepier/lab/scale/ReportSchedule.java
@@ -14,10 +14,10 @@
      */
     record Due(int router, double at, byte[] report) {}
 
-    private final PriorityQueue<HollowRouter> routers =
-            new PriorityQueue<>(Comparator.comparingDouble(HollowRouter::nextAt));
+    private final PriorityQueue<SimulatedRouter> routers =
+            new PriorityQueue<>(Comparator.comparingDouble(SimulatedRouter::nextAt));
 
-    ReportSchedule(List<HollowRouter> routers) {
+    ReportSchedule(List<SimulatedRouter> routers) {
         this.routers.addAll(routers);
     }
 
@@ -28,7 +28,7 @@
 
     /** Takes the next report. */
     Due next() {
-        HollowRouter router = routers.remove();
+        SimulatedRouter router = routers.remove();
         double at = router.nextAt();
         byte[] report = router.report();
         routers.add(router);
--- a/lab/src/main/java/stagepier/lab/scale/ScaleMeasurement.java
+++ b/lab/src/main/java/stagepier/lab/scale/ScaleMeasurement.java
@@ -27,7 +27,7 @@
 
     /** @throws PlanTooLargeException where there is not the room for that plan; nothing is started */
     public static void check(ScalePlan plan) throws IOException, PlanTooLargeException {
-        ScaleNeeds.of(plan).check(MachineRoom.read());
+        ScaleRequirements.of(plan).check(MachineResources.read());
     }
 
     /**
--- a/lab/src/main/java/stagepier/lab/scale/ScaleRequirements.java
+++ b/lab/src/main/java/stagepier/lab/scale/ScaleRequirements.java
@@ -11,7 +11,7 @@
  * @param descriptors of the laboratory's process
  * @param ports       of one loopback address
  */
-record ScaleNeeds(long memory, int processes, int descriptors, int ports) {
+record ScaleRequirements(long memory, int processes, int descriptors, int ports) {
     /** Bounds that no scale run may pass, whatever the machine has. */
     static final long MEMORY_MOST = 12L << 30;
 
@@ -33,10 +33,10 @@
     private static final int DESCRIPTORS_OF_LAB = 300;
     private static final int MEGABYTE = 1 << 20;
 
-    static ScaleNeeds of(ScalePlan plan) {
+    static ScaleRequirements of(ScalePlan plan) {
         int hollow = Math.max(0, plan.largest() - plan.real());
         int sockets = plan.real() * (SOCKETS_OF_SERVER * StatedLoad.CACHE_SERVERS + SOCKETS_OF_CLIENTS);
-        return new ScaleNeeds(
+        return new ScaleRequirements(
                 MEMORY_OF_LAB + plan.real() * MEMORY_OF_PROCESS + hollow * MEMORY_OF_HOLLOW,
                 plan.real() + 1,
                 sockets + plan.largest() + DESCRIPTORS_OF_LAB,
@@ -44,7 +44,7 @@
     }
 
     /** @throws PlanTooLargeException with one line that names all that it would pass */
-    void check(MachineRoom room) throws PlanTooLargeException {
+    void check(MachineResources room) throws PlanTooLargeException {
         List<String> passed = new ArrayList<>();
         note(passed, memory / MEGABYTE, Math.min(MEMORY_MOST, room.memory()) / MEGABYTE, "MB of memory");
         note(passed, processes, PROCESSES_MOST, "processes");
--- a/lab/src/main/java/stagepier/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/stagepier/lab/scale/ScaleRun.java
@@ -69,16 +69,16 @@
         return slowest;
     }
 
-    private List<HollowRouter> hollow(int[] servers) {
+    private List<SimulatedRouter> hollow(int[] servers) {
         return hollow(plan.reports(), plan.real(), routers, servers, new Randoms(seed), clock.now());
     }
 
     /** Those of a fleet of so many routers that are no processes. */
-    static List<HollowRouter> hollow(
+    static List<SimulatedRouter> hollow(
             ReportPacing reports, int real, int routers, int[] servers, Randoms randoms, double from) {
-        List<HollowRouter> hollow = new ArrayList<>();
+        List<SimulatedRouter> hollow = new ArrayList<>();
         for (int number = real; number < routers; number++) {
-            hollow.add(new HollowRouter(
+            hollow.add(new SimulatedRouter(
                     number,
                     0,
                     LoadReportModel.of(reports, StatedLoad.SHORTEST_DEADLINE, routers),
--- a/lab/src/main/java/stagepier/lab/scale/SimulatedRouter.java
+++ b/lab/src/main/java/stagepier/lab/scale/SimulatedRouter.java
@@ -13,7 +13,7 @@
  * in flight are drawn anew for each report: an attempt is over long before the next. It begins as one that has
  * reported for long. Free of I/O and clock.
  */
-final class HollowRouter {
+final class SimulatedRouter {
     /** Reports after which the size of the next ones is known well enough. */
     private static final int KNOWN_AFTER = 20;
 
@@ -30,7 +30,7 @@
      * @param servers      numbers of the cache servers
      * @param from         when it starts, in seconds; its first report comes when the gap that it is found in is over
      */
-    HollowRouter(
+    SimulatedRouter(
             int number,
             int zone,
             LoadReportModel model,
--- a/lab/src/main/java/stagepier/lab/scale/StatedLoad.java
+++ b/lab/src/main/java/stagepier/lab/scale/StatedLoad.java
@@ -1,6 +1,6 @@
 package stagepier.lab.scale;
 
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
 
@@ -54,7 +54,7 @@
         String text = TEXT.formatted(REQUESTS * real, seconds, SHORTEST_DEADLINE * MS, WORK * MS);
         try {
             return ScenarioReader.parse("scale", text).withFleet(CACHE_SERVERS, real);
-        } catch (BadScenarioException e) {
+        } catch (InvalidScenarioException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
--- a/lab/src/main/java/stagepier/lab/scale/ThroughputMeasurement.java
+++ b/lab/src/main/java/stagepier/lab/scale/ThroughputMeasurement.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import stagepier.lab.fleet.RouterProcess;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
 import stagepier.lab.standin.LabClock;
@@ -56,7 +56,7 @@
 
     /** Plays one load and ends all that it started. */
     public ThroughputPoint measure(double rate, int valueBytes, int seconds, long seed)
-            throws IOException, InterruptedException, BadScenarioException {
+            throws IOException, InterruptedException, InvalidScenarioException {
         String text = TEXT.formatted(rate, WARM_UP + seconds + LOAD_OUTLASTS, valueBytes);
         Scenario scenario = ScenarioReader.parse("throughput", text);
         LabClock clock = new LabClock();
--- a/lab/src/main/java/stagepier/lab/scale/discovery/DiscoveryRun.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/DiscoveryRun.java
@@ -80,7 +80,7 @@
 
     /** @throws IOException where the machine has no room for it */
     public Outcome run() throws IOException, InterruptedException {
-        RoomCheck.check(setting.watches());
+        ResourceCheck.check(setting.watches());
         front.listen();
         onService(() -> {
             HostNames.publishAll(service, setting.servers());
@@ -89,7 +89,7 @@
         watchers = new WatcherGroup(watcherLoops, clock, front.port(), setting);
         watchers.start(START_APART);
         sleep(START_APART * setting.watches() + SETTLE_SECONDS);
-        List<PaceProbe> probes = startProbes();
+        List<EventLoopLagProbe> probes = startProbes();
         calm();
         changes();
         outage(ReturnFigures.OF_CHANGES, false);
@@ -179,17 +179,17 @@
         }
     }
 
-    private List<PaceProbe> startProbes() {
-        List<PaceProbe> probes = new ArrayList<>();
-        probes.add(new PaceProbe(serviceLoop, clock));
-        watcherLoops.forEach(l -> probes.add(new PaceProbe(l, clock)));
-        probes.forEach(PaceProbe::start);
+    private List<EventLoopLagProbe> startProbes() {
+        List<EventLoopLagProbe> probes = new ArrayList<>();
+        probes.add(new EventLoopLagProbe(serviceLoop, clock));
+        watcherLoops.forEach(l -> probes.add(new EventLoopLagProbe(l, clock)));
+        probes.forEach(EventLoopLagProbe::start);
         return probes;
     }
 
-    private void judgePace(List<PaceProbe> probes) throws InterruptedException {
+    private void judgePace(List<EventLoopLagProbe> probes) throws InterruptedException {
         Histogram all = new Histogram(probes.get(0).stop());
-        for (PaceProbe probe : probes.subList(1, probes.size())) {
+        for (EventLoopLagProbe probe : probes.subList(1, probes.size())) {
             all.add(probe.stop());
         }
         if (all.getValueAtPercentile(99) > LATE_P99_US || all.getMaxValue() > LATE_EVER_US) {
--- a/lab/src/main/java/stagepier/lab/scale/discovery/DiscoverySetting.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/DiscoverySetting.java
@@ -1,6 +1,6 @@
 package stagepier.lab.scale.discovery;
 
-import stagepier.lab.standin.ServiceManners;
+import stagepier.lab.standin.DiscoveryBehaviour;
 
 /**
  * What is measured.
@@ -8,4 +8,4 @@
  * @param watches routers that watch the one service
  * @param servers cache servers on its list
  */
-public record DiscoverySetting(int watches, int servers, long seed, ServiceManners manners, WatchTimes times) {}
+public record DiscoverySetting(int watches, int servers, long seed, DiscoveryBehaviour manners, WatchTimes times) {}
--- a/lab/src/main/java/stagepier/lab/scale/discovery/EventLoopLagProbe.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/EventLoopLagProbe.java
@@ -6,7 +6,7 @@
 import stagepier.lab.standin.LabClock;
 
 /** How late an event loop comes to what it has to do: a task every few milliseconds notes its lateness. */
-final class PaceProbe {
+final class EventLoopLagProbe {
     private static final double EVERY = 0.005;
     private static final long HIGHEST_US = 60_000_000;
 
@@ -16,7 +16,7 @@
     private double planned;
     private boolean isOver;
 
-    PaceProbe(EventLoop loop, LabClock clock) {
+    EventLoopLagProbe(EventLoop loop, LabClock clock) {
         this.loop = loop;
         this.clock = clock;
     }
--- a/lab/src/main/java/stagepier/lab/scale/discovery/NettyConnector.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/NettyConnector.java
@@ -24,7 +24,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Connections of hollow watchers to a service on loopback, all on one event loop. */
-public final class NettyConnector implements HollowWatcher.Connector {
+public final class NettyConnector implements SimulatedWatcher.Connector {
     private static final int LARGEST_LIST = 1 << 20;
     private static final String VERSION_KEY = "\"generation\":";
     /** So much of a body holds its version. */
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public HollowWatcher.Connection open(HollowWatcher watcher) {
+    public SimulatedWatcher.Connection open(SimulatedWatcher watcher) {
         Link link = new Link(watcher);
         ChannelFuture connect = new Bootstrap()
                 .group(loop)
@@ -73,11 +73,11 @@
         return link;
     }
 
-    private final class Link implements HollowWatcher.Connection {
-        private final HollowWatcher watcher;
+    private final class Link implements SimulatedWatcher.Connection {
+        private final SimulatedWatcher watcher;
         private Channel channel;
 
-        private Link(HollowWatcher watcher) {
+        private Link(SimulatedWatcher watcher) {
             this.watcher = watcher;
         }
 
--- a/lab/src/main/java/stagepier/lab/scale/discovery/ResourceCheck.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/ResourceCheck.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 
 /** Whether this machine has room for a run, looked at before it starts. */
-public final class RoomCheck {
+public final class ResourceCheck {
     private static final long MOST_MEMORY = 12L << 30;
     private static final long MEMORY_USUAL = 600L << 20;
     /** Of one watch: its connection at both ends, their buffers, and a whole list on its way. */
@@ -23,7 +23,7 @@
     private static final Path PORT_RANGE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
     private static final Path MEMORY = Path.of("/proc/meminfo");
 
-    private RoomCheck() {}
+    private ResourceCheck() {}
 
     /** @throws IOException where there is no room; its message is one line */
     public static void check(int watches) throws IOException {
--- a/lab/src/main/java/stagepier/lab/scale/discovery/SimulatedWatcher.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/SimulatedWatcher.java
@@ -14,7 +14,7 @@
  * <p>Left out is the second connection of the real watch, which asks beside an answer that has begun and is not whole
  * when its call is due. {@link Events#slow} tells where that would have come.
  */
-public final class HollowWatcher {
+public final class SimulatedWatcher {
     /** A connection that has been asked for. */
     public interface Connection {
         /** Sends a request for that target; only once the connection is up. */
@@ -25,7 +25,7 @@
 
     /** Brings up connections; what becomes of each is told to the watcher. */
     public interface Connector {
-        Connection open(HollowWatcher watcher);
+        Connection open(SimulatedWatcher watcher);
     }
 
     /** Is told what the watcher does. */
@@ -71,7 +71,7 @@
     private long version;
 
     /** @param version of the list that it knows, or -1 */
-    public HollowWatcher(
+    public SimulatedWatcher(
             Scheduler scheduler,
             Connector connector,
             WatchTimes times,
--- a/lab/src/main/java/stagepier/lab/scale/discovery/WatcherGroup.java
+++ b/lab/src/main/java/stagepier/lab/scale/discovery/WatcherGroup.java
@@ -47,7 +47,7 @@
             EventLoop loop = loops.get(i % loops.size());
             Member member = new Member(loop);
             var random = randoms.of("watcher-" + i);
-            member.watcher = new HollowWatcher(
+            member.watcher = new SimulatedWatcher(
                     new LoopScheduler(loop, clock),
                     NettyConnector.to(loop, port),
                     setting.times(),
@@ -104,9 +104,9 @@
         }
     }
 
-    private final class Member implements HollowWatcher.Events {
+    private final class Member implements SimulatedWatcher.Events {
         private final EventLoop loop;
-        private HollowWatcher watcher;
+        private SimulatedWatcher watcher;
         private Target counted;
 
         private Member(EventLoop loop) {
--- a/lab/src/main/java/stagepier/lab/scale/saturation/SaturatedRouter.java
+++ b/lab/src/main/java/stagepier/lab/scale/saturation/SaturatedRouter.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.TimeUnit;
 import stagepier.lab.fleet.RouterProcess;
 import stagepier.lab.model.Randoms;
-import stagepier.lab.scenario.BadScenarioException;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
+import stagepier.lab.standin.DiscoveryBehaviour;
 import stagepier.lab.standin.DiscoveryFront;
 import stagepier.lab.standin.DiscoveryService;
 import stagepier.lab.standin.HostList;
 import stagepier.lab.standin.LabClock;
 import stagepier.lab.standin.LoopScheduler;
 import stagepier.lab.standin.RouterSettings;
-import stagepier.lab.standin.ServiceManners;
 
 /** One router process with its discovery, its cache servers and its clients; ends all that it started. */
 final class SaturatedRouter implements AutoCloseable {
@@ -50,7 +50,7 @@
     private final MultiThreadIoEventLoopGroup clientGroup = group(CLIENT_LOOPS);
     private final EventLoop discoveryLoop = discoveryGroup.next();
     private final DiscoveryService service =
-            new DiscoveryService(new LoopScheduler(discoveryLoop, new LabClock()), ServiceManners.PUSHED);
+            new DiscoveryService(new LoopScheduler(discoveryLoop, new LabClock()), DiscoveryBehaviour.PUSHED);
     private final DiscoveryFront discovery = new DiscoveryFront(discoveryLoop, service, DiscoveryFront.Observer.NONE);
     private final FixedAnswerServers servers;
     private final RouterProcess process;
@@ -66,7 +66,7 @@
     SaturatedRouter(SaturationSetting setting, List<String> command, Path folder) throws IOException {
         try {
             scenario = ScenarioReader.parse("saturation", SCENARIO);
-        } catch (BadScenarioException e) {
+        } catch (InvalidScenarioException e) {
             throw new IllegalStateException(e);
         }
         randoms = new Randoms(setting.seed());
--- a/lab/src/main/java/stagepier/lab/scenario/FleetScenario.java
+++ b/lab/src/main/java/stagepier/lab/scenario/FleetScenario.java
@@ -16,7 +16,7 @@
  * @param proposals     what staff propose meanwhile
  * @param candidates    candidate maps that staff give meanwhile
  */
-public record Together(
+public record FleetScenario(
         double lease,
         double skew,
         double trafficMost,
--- a/lab/src/main/java/stagepier/lab/scenario/FleetScenarioReader.java
+++ b/lab/src/main/java/stagepier/lab/scenario/FleetScenarioReader.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /** Reads what a scenario says of a fleet that decides together. */
-final class TogetherReader {
+final class FleetScenarioReader {
     private static final double DAY = 86_400;
 
-    private TogetherReader() {}
+    private FleetScenarioReader() {}
 
     /** @return null where the scenario says nothing of it, or says that it is off */
-    static Together read(Table root, int routers, double seconds) {
+    static FleetScenario read(Table root, int routers, double seconds) {
         boolean there = root.has("together");
         Table t = root.sub("together");
         boolean on = t.flag("on", true);
-        List<Together.Proposal> proposals = new ArrayList<>();
+        List<FleetScenario.Proposal> proposals = new ArrayList<>();
         for (Table p : t.subs("proposal")) {
             proposals.add(proposal(p, routers, seconds));
         }
-        List<Together.Candidate> candidates = new ArrayList<>();
+        List<FleetScenario.Candidate> candidates = new ArrayList<>();
         for (Table c : t.subs("candidate_read")) {
             List<Integer> where = c.wholes("routers", 0, routers - 1);
-            candidates.add(new Together.Candidate(
+            candidates.add(new FleetScenario.Candidate(
                     c.number("at_s", 1, 0, seconds), where.isEmpty() ? List.of(0) : where, c.word("candidate", "")));
             c.end();
         }
-        Together together = new Together(
+        FleetScenario together = new FleetScenario(
                 t.number("lease_ms", 3000, 100, 600_000) / 1e3,
                 t.number("skew_ms", 2000, 0, 600_000) / 1e3,
                 t.number("link_bytes_per_s", 0, 0, 1e9),
@@ -46,10 +46,10 @@
         return there && on ? together : null;
     }
 
-    private static Together.Proposal proposal(Table t, int routers, double seconds) {
+    private static FleetScenario.Proposal proposal(Table t, int routers, double seconds) {
         double at = t.number("at_s", 1, 0, seconds);
         List<Integer> where = t.wholes("routers", 0, routers - 1);
-        List<Together.Window> windows = new ArrayList<>();
+        List<FleetScenario.Window> windows = new ArrayList<>();
         for (Table w : t.subs("window")) {
             double from = w.number("from_s", 0, -DAY, DAY);
             double until = w.number("until_s", DAY, -DAY, DAY);
@@ -60,10 +60,10 @@
             if (!scope.matches("all|zone:[a-z0-9-]+|kind:[A-Z_]+")) {
                 w.error("scope", "must be all, zone:NAME or kind:NAME");
             }
-            windows.add(new Together.Window(w.word("name", "window"), from, until, scope));
+            windows.add(new FleetScenario.Window(w.word("name", "window"), from, until, scope));
             w.end();
         }
         t.end();
-        return new Together.Proposal(at, where.isEmpty() ? List.of(0) : where, List.copyOf(windows));
+        return new FleetScenario.Proposal(at, where.isEmpty() ? List.of(0) : where, List.copyOf(windows));
     }
 }
--- a/lab/src/main/java/stagepier/lab/scenario/Scenario.java
+++ b/lab/src/main/java/stagepier/lab/scenario/Scenario.java
@@ -44,7 +44,7 @@
         List<LinkFault> linkFaults,
         boolean peers,
         int stated,
-        Together together) {
+        FleetScenario together) {
     /** What clients do when they are refused. */
     public enum Retries {
         NONE,
--- a/lab/src/main/java/stagepier/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/stagepier/lab/scenario/ScenarioReader.java
@@ -22,14 +22,14 @@
 
     private ScenarioReader() {}
 
-    public static Scenario read(Path file) throws IOException, BadScenarioException {
+    public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    public static Scenario parse(String file, String text) throws BadScenarioException {
+    public static Scenario parse(String file, String text) throws InvalidScenarioException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new BadScenarioException(toml.errors().stream()
+            throw new InvalidScenarioException(toml.errors().stream()
                     .map(e -> file + ":" + e.position().line() + ": "
                             + e.getMessage().lines().findFirst().orElse(""))
                     .toList());
@@ -37,7 +37,7 @@
         List<String> errors = new ArrayList<>();
         Scenario scenario = scenario(file, new Table(file, "", toml, errors));
         if (!errors.isEmpty()) {
-            throw new BadScenarioException(errors);
+            throw new InvalidScenarioException(errors);
         }
         return scenario;
     }
@@ -86,7 +86,7 @@
         for (Table t : root.subs("link_fault")) {
             linkFaults.add(linkFault(t, routers, seconds));
         }
-        Together together = TogetherReader.read(root, routers, seconds);
+        FleetScenario together = FleetScenarioReader.read(root, routers, seconds);
         root.end();
         return new Scenario(
                 name,
--- a/lab/src/main/java/stagepier/lab/standin/CacheNode.java
+++ b/lab/src/main/java/stagepier/lab/standin/CacheNode.java
@@ -33,7 +33,7 @@
 final class CacheNode {
     private static final int BACKLOG = 16;
 
-    private final World world;
+    private final SharedState world;
     private final int number;
     private final NodeModel model;
     private final UniformRandomProvider chance;
@@ -61,7 +61,7 @@
     private long turnedAway;
     private int connectionsPeak;
 
-    CacheNode(World world, int number, NodeModel model, UniformRandomProvider chance, int routers) {
+    CacheNode(SharedState world, int number, NodeModel model, UniformRandomProvider chance, int routers) {
         this.world = world;
         this.number = number;
         this.model = model;
@@ -180,7 +180,7 @@
                         listening.add(f.channel());
                     } else {
                         world.recorder()
-                                .add(new Event.Stray(
+                                .add(new Event.UnexpectedLine(
                                         world.clock().now(),
                                         -1,
                                         "node " + number + " of the lab cannot listen again: "
@@ -299,7 +299,8 @@
             String request = m.flag('O');
             boolean isWrite = m.line().startsWith("ms ");
             if (kind < 0 || request.isEmpty() || !isWrite && !m.line().startsWith("mg ")) {
-                world.recorder().add(new Event.Stray(world.clock().now(), router, "to a cache node: " + m.line()));
+                world.recorder()
+                        .add(new Event.UnexpectedLine(world.clock().now(), router, "to a cache node: " + m.line()));
                 answer(slot, "CLIENT_ERROR bad command\r\n");
                 return;
             }
@@ -312,7 +313,7 @@
             // What it is sent counts, also what it turns away.
             if (!hanging && model.pushedOver(now, work)) {
                 world.recorder().add(new Event.Arrived(now, m.firstByteAt(), request, router, number, false));
-                world.recorder().add(new Event.Fell(now, number));
+                world.recorder().add(new Event.NodeOverloaded(now, number));
                 crash();
                 world.at(now + model.traits().down(), CacheNode.this::comeBack);
                 return;
@@ -391,7 +392,7 @@
                 text = "wrong." + text;
             }
             String body = text + "x".repeat(Math.max(0, world.scenario().value() - text.length()));
-            world.recorder().add(new Event.Made(world.clock().now(), request, number, Tokens.of(body)));
+            world.recorder().add(new Event.AnswerMade(world.clock().now(), request, number, Tokens.of(body)));
             answer(
                     slot,
                     "VA %d O%s %s\r\n%s\r\n"
@@ -405,7 +406,7 @@
         private void receipt(byte[][] slot, long request, long serial) {
             model.release();
             String receipt = "%x.%x".formatted(request, serial);
-            world.recorder().add(new Event.Made(world.clock().now(), request, number, Tokens.of(receipt)));
+            world.recorder().add(new Event.AnswerMade(world.clock().now(), request, number, Tokens.of(receipt)));
             answer(slot, "HD O%016x c%s\r\n".formatted(request, receipt));
         }
 
--- a/lab/src/main/java/stagepier/lab/standin/Clients.java
+++ b/lab/src/main/java/stagepier/lab/standin/Clients.java
@@ -20,7 +20,7 @@
 import stagepier.lab.ledger.Event;
 import stagepier.lab.ledger.Ledger;
 import stagepier.lab.measure.Series;
-import stagepier.lab.model.Planned;
+import stagepier.lab.model.PlannedRequest;
 import stagepier.lab.model.RequestKind;
 import stagepier.lab.scenario.Scenario;
 
@@ -45,7 +45,7 @@
     private final LabClock clock;
     private final Recorder recorder;
     private final Scenario scenario;
-    private final List<Planned> plan;
+    private final List<PlannedRequest> plan;
     private final int[] ports;
     private final List<ArrayDeque<Connection>> idle = new ArrayList<>();
     private final int[] open;
@@ -62,20 +62,25 @@
 
     /** A request of a user: all its tries together. */
     private static final class Wanted {
-        private final Planned planned;
+        private final PlannedRequest planned;
         private int tries;
         private double until;
         /** It met a connection that was being closed, and was sent one more time. */
         private boolean resent;
 
-        Wanted(Planned planned) {
+        Wanted(PlannedRequest planned) {
             this.planned = planned;
         }
     }
 
     /** @param ports where the routers listen */
     public Clients(
-            EventLoop loop, LabClock clock, Recorder recorder, Scenario scenario, List<Planned> plan, int[] ports) {
+            EventLoop loop,
+            LabClock clock,
+            Recorder recorder,
+            Scenario scenario,
+            List<PlannedRequest> plan,
+            int[] ports) {
         this.loop = loop;
         this.clock = clock;
         this.recorder = recorder;
@@ -132,7 +137,7 @@
     private void tick() {
         double now = clock.now() - startedAt;
         while (next < plan.size() && plan.get(next).at() <= now) {
-            Planned p = plan.get(next++);
+            PlannedRequest p = plan.get(next++);
             lag.recordValue(Math.min(60_000_000, Math.max(0, Math.round((now - p.at()) * 1e6))));
             unfinished++;
             Wanted w = new Wanted(p);
@@ -167,7 +172,7 @@
         }
         if (open[router] >= CONNECTIONS_MOST) {
             starved++;
-            end(w, Series.Fate.UNANSWERED);
+            end(w, Series.RequestOutcome.UNANSWERED);
             return;
         }
         Connection fresh = new Connection(router);
@@ -190,15 +195,15 @@
                 fresh.send(w);
             } else {
                 open[router]--;
-                again(w, Series.Fate.FAILED, 0);
+                again(w, Series.RequestOutcome.FAILED, 0);
             }
         });
     }
 
     /** A try has come to nothing. */
-    private void again(Wanted w, Series.Fate fate, double retryAfter) {
+    private void again(Wanted w, Series.RequestOutcome fate, double retryAfter) {
         double wait = scenario.retries() == Scenario.Retries.AT_ONCE ? 0 : retryAfter > 0 ? retryAfter : WAIT;
-        boolean mayRepeat = fate == Series.Fate.REFUSED
+        boolean mayRepeat = fate == Series.RequestOutcome.REFUSED
                 || scenario.kinds().get(w.planned.kind()).repeat() != RequestKind.Repeat.UNSAFE;
         if (scenario.retries() == Scenario.Retries.NONE
                 || !mayRepeat
@@ -214,14 +219,14 @@
         return LEFT_LEAST * scenario.kinds().get(w.planned.kind()).deadline();
     }
 
-    private void end(Wanted w, Series.Fate fate) {
+    private void end(Wanted w, Series.RequestOutcome fate) {
         RequestKind kind = scenario.kinds().get(w.planned.kind());
         double took = clock.now() - startedAt - w.planned.at();
         series.ended(
                 w.planned.at(),
                 took,
                 kind.worth(),
-                fate == Series.Fate.IN_TIME && took > kind.aim() ? Series.Fate.LATE : fate);
+                fate == Series.RequestOutcome.IN_TIME && took > kind.aim() ? Series.RequestOutcome.LATE : fate);
         unfinished--;
         finishIfOver();
     }
@@ -244,10 +249,10 @@
             double left = w.until - now;
             if (left <= leastLeft(w)) {
                 idle.get(router).add(this);
-                end(w, Series.Fate.UNANSWERED);
+                end(w, Series.RequestOutcome.UNANSWERED);
                 return;
             }
-            Planned p = w.planned;
+            PlannedRequest p = w.planned;
             RequestKind kind = scenario.kinds().get(p.kind());
             wanted = w;
             sent++;
@@ -263,7 +268,7 @@
             String line = kind.write()
                     ? "ms %016x 8%s,k=%016x\r\n12345678\r\n".formatted(p.key(), rest, (long) p.index() + 1)
                     : "mg %016x v%s\r\n".formatted(p.key(), rest);
-            recorder.add(new Event.Asked(now, request, router, p.kind(), p.key(), left));
+            recorder.add(new Event.RequestSent(now, request, router, p.kind(), p.key(), left));
             channel.writeAndFlush(Unpooled.wrappedBuffer(line.getBytes(StandardCharsets.ISO_8859_1)));
             // Not before the ledger's slack is over: who leaves sooner cannot tell a late answer from none.
             timer = loop.schedule(this::timeIsUp, (long) ((left + Ledger.SLACK + 0.01) * 1e6), TimeUnit.MICROSECONDS);
@@ -274,13 +279,13 @@
             wanted = null;
             recorder.add(new Event.Ended(clock.now(), request, Event.End.UNANSWERED, 0));
             channel.close();
-            end(w, Series.Fate.UNANSWERED);
+            end(w, Series.RequestOutcome.UNANSWERED);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, MetaDecoder.Message m) {
             if (wanted == null) {
-                recorder.add(new Event.Stray(clock.now(), router, m.line()));
+                recorder.add(new Event.UnexpectedLine(clock.now(), router, m.line()));
                 ctx.close();
                 return;
             }
@@ -293,14 +298,14 @@
             if (m.line().startsWith("VA ") || m.line().startsWith("HD ")) {
                 long token = !mine ? 0 : m.data() != null ? Tokens.of(m.data()) : Tokens.of(m.flag('c'));
                 recorder.add(new Event.Ended(now, request, Event.End.SERVED, token));
-                end(w, Series.Fate.IN_TIME);
+                end(w, Series.RequestOutcome.IN_TIME);
             } else if (m.line().startsWith("SERVER_ERROR busy")) {
                 recorder.add(new Event.Ended(now, request, Event.End.REFUSED, 0));
                 String[] words = m.words();
-                again(w, Series.Fate.REFUSED, words.length > 2 ? Integer.parseInt(words[2]) / 1e3 : 0);
+                again(w, Series.RequestOutcome.REFUSED, words.length > 2 ? Integer.parseInt(words[2]) / 1e3 : 0);
             } else {
                 recorder.add(new Event.Ended(now, request, Event.End.FAILED, 0));
-                again(w, Series.Fate.FAILED, 0);
+                again(w, Series.RequestOutcome.FAILED, 0);
             }
         }
 
@@ -319,7 +324,7 @@
                     w.resent = true;
                     ask(w);
                 } else {
-                    again(w, Series.Fate.FAILED, 0);
+                    again(w, Series.RequestOutcome.FAILED, 0);
                 }
             }
         }
--- a/lab/src/main/java/stagepier/lab/standin/DatagramRelay.java
+++ b/lab/src/main/java/stagepier/lab/standin/DatagramRelay.java
@@ -20,7 +20,7 @@
  * which it hears that other, and one that goes to all: what a platform gives. On the stand-ins' event loop.
  */
 final class DatagramRelay {
-    private final World world;
+    private final SharedState world;
     private final Nemesis nemesis;
     private final int[] ports;
     /** By receiver and then sender. */
@@ -31,7 +31,7 @@
     private long delivered;
 
     /** @param ports where each router listens for others */
-    DatagramRelay(World world, Nemesis nemesis, int[] ports) {
+    DatagramRelay(SharedState world, Nemesis nemesis, int[] ports) {
         this.world = world;
         this.nemesis = nemesis;
         this.ports = ports.clone();
--- a/lab/src/main/java/stagepier/lab/standin/DiscoveryAgent.java
+++ b/lab/src/main/java/stagepier/lab/standin/DiscoveryAgent.java
@@ -4,25 +4,25 @@
 import java.util.List;
 import stagepier.lab.ledger.Event;
 import stagepier.lab.nemesis.Link;
+import stagepier.lab.nemesis.LinkConditions;
 import stagepier.lab.nemesis.Nemesis;
-import stagepier.lab.nemesis.Treatment;
 
 /** One router's agent of discovery, on loopback: the whole list, and a watch that waits for what is newer. */
 final class DiscoveryAgent {
     private static final double LOOK_AGAIN = 0.01;
 
-    private final World world;
+    private final SharedState world;
     private final Nemesis nemesis;
     private final int router;
     private final DiscoveryService service;
     private final DiscoveryFront front;
 
     /** @param observer is told what goes over the connections to it */
-    DiscoveryAgent(World world, Nemesis nemesis, int router, DiscoveryFront.Observer observer) {
+    DiscoveryAgent(SharedState world, Nemesis nemesis, int router, DiscoveryFront.Observer observer) {
         this.world = world;
         this.nemesis = nemesis;
         this.router = router;
-        service = new DiscoveryService(new LoopScheduler(world.loop(), world.clock()), ServiceManners.PUSHED);
+        service = new DiscoveryService(new LoopScheduler(world.loop(), world.clock()), DiscoveryBehaviour.PUSHED);
         front = new DiscoveryFront(world.loop(), service, new DiscoveryFront.Observer() {
             @Override
             public void opened() {
@@ -78,14 +78,14 @@
     /** A router has been told of what was written to it once that has come through. */
     private void toldOnceHeard(List<HostList.Entry> news) {
         double now = world.clock().now();
-        Treatment t = nemesis.treatment(Link.DISCOVERY, Link.AGENT, router, now);
+        LinkConditions t = nemesis.treatment(Link.DISCOVERY, Link.AGENT, router, now);
         if (t.isSilence()) {
             world.at(now + LOOK_AGAIN, () -> toldOnceHeard(news));
             return;
         }
         double heard = now + t.delay() + t.jitter();
         news.forEach(e -> world.recorder()
-                .add(new Event.Told(heard, router, e.node(), e.lifecycle().equals("up"))));
+                .add(new Event.Announced(heard, router, e.node(), e.lifecycle().equals("up"))));
     }
 
     void close() {
--- a/lab/src/main/java/stagepier/lab/standin/DiscoveryBehaviour.java
+++ b/lab/src/main/java/stagepier/lab/standin/DiscoveryBehaviour.java
@@ -11,7 +11,7 @@
  * @param mostWaiting    calls that may wait for their turn; further ones are reset
  * @param noticesEnded   a call whose connection has ended costs nothing when its turn comes; else it costs as much
  */
-public record ServiceManners(
+public record DiscoveryBehaviour(
         boolean endsWatches,
         double perCall,
         double perLine,
@@ -19,6 +19,6 @@
         int mostWaiting,
         boolean noticesEnded) {
     /** An agent beside the router: answers at once, at no cost, and is silent in an outage. */
-    public static final ServiceManners PUSHED =
-            new ServiceManners(false, 0, 0, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, true);
+    public static final DiscoveryBehaviour PUSHED =
+            new DiscoveryBehaviour(false, 0, 0, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, true);
 }
--- a/lab/src/main/java/stagepier/lab/standin/DiscoveryFront.java
+++ b/lab/src/main/java/stagepier/lab/standin/DiscoveryFront.java
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isConnected() {
             return ctx.channel().isActive();
         }
 
--- a/lab/src/main/java/stagepier/lab/standin/DiscoveryService.java
+++ b/lab/src/main/java/stagepier/lab/standin/DiscoveryService.java
@@ -12,7 +12,7 @@
     /** Whoever made a call and waits for the one answer to it. */
     public interface Caller {
         /** Whether its connection is still there. */
-        boolean isThere();
+        boolean isConnected();
 
         void answer(HostList.Message message);
 
@@ -31,7 +31,7 @@
     }
 
     private final Scheduler scheduler;
-    private final ServiceManners manners;
+    private final DiscoveryBehaviour manners;
     private final HostList list = new HostList();
     /** Calls that wait for their turn. */
     private final Queue<Call> queue = new ArrayDeque<>();
@@ -46,7 +46,7 @@
     private long refused;
     private long wasted;
 
-    public DiscoveryService(Scheduler scheduler, ServiceManners manners) {
+    public DiscoveryService(Scheduler scheduler, DiscoveryBehaviour manners) {
         this.scheduler = scheduler;
         this.manners = manners;
     }
@@ -138,7 +138,7 @@
 
     private void takeUp(Call watch) {
         watches.remove(watch);
-        if (watch.caller().isThere()) {
+        if (watch.caller().isConnected()) {
             queue.add(watch.queuedAsWatch(scheduler.now()));
         }
     }
@@ -163,7 +163,7 @@
                 call.caller().refuse();
                 continue;
             }
-            if (!call.caller().isThere()) {
+            if (!call.caller().isConnected()) {
                 if (manners.noticesEnded()) {
                     continue;
                 }
@@ -193,7 +193,7 @@
     }
 
     private void finish(Call call) {
-        if (!call.caller().isThere()) {
+        if (!call.caller().isConnected()) {
             return;
         }
         if (!call.isWatch() && list.isNewest(call.from()) && scheduler.now() < call.until()) {
--- a/lab/src/main/java/stagepier/lab/standin/Fleet.java
+++ b/lab/src/main/java/stagepier/lab/standin/Fleet.java
@@ -26,7 +26,7 @@
 /** All cache nodes, the origin and discovery, on one event loop; knows who has to be told of what, and when. */
 public final class Fleet {
     /** What a running fleet looks like, for people to see. */
-    public record Glance(List<String> nodes, long held, long fetches, long connections) {}
+    public record StatusSnapshot(List<String> nodes, long held, long fetches, long connections) {}
 
     /**
      * A change of the list.
@@ -39,7 +39,7 @@
     /** Draws of keys, for each place of a node's memory, that fill it before the run. */
     private static final int PREFILLED = 3;
 
-    private final World world;
+    private final SharedState world;
     private final Scenario scenario;
     private final Randoms randoms;
     private final List<DiscoveryAgent> agents = new ArrayList<>();
@@ -72,7 +72,7 @@
         this.scenario = scenario;
         this.randoms = randoms;
         nemesis = new Nemesis(randoms, scenario.linkFaults());
-        world = new World(loop, clock, recorder, scenario, randoms);
+        world = new SharedState(loop, clock, recorder, scenario, randoms);
     }
 
     /**
@@ -421,7 +421,7 @@
     }
 
     // ---- what it looks like -------------------------------------------------------------------------------
-    public Glance glance() throws InterruptedException {
+    public StatusSnapshot glance() throws InterruptedException {
         return onLoop(() -> {
             List<String> states = new ArrayList<>();
             double now = world.clock().now();
@@ -431,7 +431,7 @@
                                 ? "down"
                                 : n.isFull() ? "full" : n.model().isCold(now) ? "cold" : "up");
             }
-            return new Glance(
+            return new StatusSnapshot(
                     states,
                     world.nodes().stream().mapToLong(n -> n.model().held()).sum(),
                     world.origin().sent(),
--- a/lab/src/main/java/stagepier/lab/standin/FleetLinks.java
+++ b/lab/src/main/java/stagepier/lab/standin/FleetLinks.java
@@ -9,7 +9,7 @@
 
 /** Between each router and each other one a relay for their calls; counts what each router sends. */
 final class FleetLinks {
-    private final World world;
+    private final SharedState world;
     private final Nemesis nemesis;
     private final int[] ports;
     /** By caller, then by who is called; null for a router itself. */
@@ -18,7 +18,7 @@
     private final Map<Integer, List<Long>> traffic = new TreeMap<>();
 
     /** @param ports where each router listens for calls */
-    FleetLinks(World world, Nemesis nemesis, int[] ports) {
+    FleetLinks(SharedState world, Nemesis nemesis, int[] ports) {
         this.world = world;
         this.nemesis = nemesis;
         this.ports = ports.clone();
--- a/lab/src/main/java/stagepier/lab/standin/RelayCost.java
+++ b/lab/src/main/java/stagepier/lab/standin/RelayCost.java
@@ -39,7 +39,7 @@
             server.setDaemon(true);
             server.start();
             Randoms randoms = new Randoms(1);
-            World world = new World(loop, new LabClock(), new Recorder(), scenario, randoms);
+            SharedState world = new SharedState(loop, new LabClock(), new Recorder(), scenario, randoms);
             StreamRelay relay = new StreamRelay(
                     world, new Nemesis(randoms, List.of()), Link.DISCOVERY, 0, Link.AGENT, echo.getLocalPort());
             relay.listen();
--- a/lab/src/main/java/stagepier/lab/standin/SharedState.java
+++ b/lab/src/main/java/stagepier/lab/standin/SharedState.java
@@ -13,7 +13,7 @@
 import stagepier.lab.scenario.Scenario;
 
 /** What all cache nodes share: the origin, the versions of keys, and what was done for keyed writes. One thread. */
-final class World {
+final class SharedState {
     /** An answer to a keyed write, and when it was first made. */
     private record Done(double at, long serial) {}
 
@@ -30,7 +30,7 @@
     private long serials;
     private int stopsSeen;
 
-    World(EventLoop loop, LabClock clock, Recorder recorder, Scenario scenario, Randoms randoms) {
+    SharedState(EventLoop loop, LabClock clock, Recorder recorder, Scenario scenario, Randoms randoms) {
         this.loop = loop;
         this.clock = clock;
         this.recorder = recorder;
--- a/lab/src/main/java/stagepier/lab/standin/StreamRelay.java
+++ b/lab/src/main/java/stagepier/lab/standin/StreamRelay.java
@@ -30,7 +30,7 @@
     /** Pieces that wait in one direction from which on no more is read. */
     private static final int WAITING_MOST = 64;
 
-    private final World world;
+    private final SharedState world;
     private final Nemesis nemesis;
     private final Link link;
     private final int near;
@@ -61,7 +61,7 @@
      * @param target the port of the latter
      * @param passed hears of all that is passed on
      */
-    StreamRelay(World world, Nemesis nemesis, Link link, int near, int far, int target, Passed passed) {
+    StreamRelay(SharedState world, Nemesis nemesis, Link link, int near, int far, int target, Passed passed) {
         this.world = world;
         this.nemesis = nemesis;
         this.link = link;
@@ -71,7 +71,7 @@
         this.passed = passed;
     }
 
-    StreamRelay(World world, Nemesis nemesis, Link link, int near, int far, int target) {
+    StreamRelay(SharedState world, Nemesis nemesis, Link link, int near, int far, int target) {
         this(world, nemesis, link, near, far, target, Passed.NONE);
     }
 
--- a/lab/src/test/java/stagepier/lab/ExperimentTest.java
+++ b/lab/src/test/java/stagepier/lab/ExperimentTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import stagepier.lab.fleet.Experiment;
 import stagepier.lab.fleet.RouterProcess;
-import stagepier.lab.ledger.Breach;
-import stagepier.lab.ledger.Breach.Rule;
-import stagepier.lab.measure.Series.Fate;
+import stagepier.lab.ledger.Violation;
+import stagepier.lab.ledger.Violation.Rule;
+import stagepier.lab.measure.Series.RequestOutcome;
 import stagepier.lab.report.RunResult;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
@@ -64,7 +64,7 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                WrongRouter.class.getName(),
+                FaultyRouter.class.getName(),
                 how);
     }
 
@@ -73,7 +73,7 @@
     })
     void aRouterThatBreaksARuleIsFoundOut(String how, Rule rule) throws Exception {
         RunResult result = run(SMALL, wrong(how));
-        Set<Rule> broken = result.breaches().stream().map(Breach::rule).collect(Collectors.toSet());
+        Set<Rule> broken = result.breaches().stream().map(Violation::rule).collect(Collectors.toSet());
         // One wrong may bring about others: who is answered twice takes the second for the answer to the next.
         assertTrue(
                 rule == null ? broken.isEmpty() : broken.contains(rule),
@@ -81,7 +81,7 @@
         assertFalse(
                 broken.contains(Rule.DRAINS) || broken.contains(Rule.COLD_NODES),
                 result.breaches().toString());
-        assertTrue(result.series().total(Fate.IN_TIME) > 100, "it served the rest");
+        assertTrue(result.series().total(RequestOutcome.IN_TIME) > 100, "it served the rest");
     }
 
     @Test
--- a/lab/src/test/java/stagepier/lab/FaultyMember.java
+++ b/lab/src/test/java/stagepier/lab/FaultyMember.java
@@ -22,7 +22,7 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /** A little member of a fleet over the lab's links, which writes a history; or one that breaks every promise. For tests only. */
-final class WrongMember {
+final class FaultyMember {
     private static final Logger HISTORY = LoggerFactory.getLogger("history");
     private static final long INCARNATION = System.currentTimeMillis();
     private static final long HEARD_FOR_NS = 1_000_000_000L;
@@ -36,7 +36,7 @@
     private String last = "";
     private int epoch;
 
-    private WrongMember(String name, String file, boolean wrong) {
+    private FaultyMember(String name, String file, boolean wrong) {
         this.name = name;
         this.wrong = wrong;
         Matcher m = Pattern.compile("name = \"(n\\d+)\"\\s+address = \"127.0.0.1:(\\d+)\"")
@@ -48,7 +48,7 @@
 
     /** Starts it beside the router that this process is. */
     static void start(String name, boolean wrong) throws IOException {
-        WrongMember member = new WrongMember(name, Files.readString(Path.of(System.getenv("GW_FLEET"))), wrong);
+        FaultyMember member = new FaultyMember(name, Files.readString(Path.of(System.getenv("GW_FLEET"))), wrong);
         member.onHangUp();
         daemon(member::listen);
         daemon(member::look);
--- a/lab/src/test/java/stagepier/lab/FaultyRouter.java
+++ b/lab/src/test/java/stagepier/lab/FaultyRouter.java
@@ -16,13 +16,13 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /** A deliberately wrong little router: it breaks one rule, as its argument says. For tests of the ledger only. */
-public final class WrongRouter {
+public final class FaultyRouter {
     private final String wrong;
     private final JsonArray nodes;
     private final AtomicInteger turn = new AtomicInteger();
     private final AtomicReference<String> lastBody = new AtomicReference<>("x");
 
-    private WrongRouter(String wrong, JsonArray nodes) {
+    private FaultyRouter(String wrong, JsonArray nodes) {
         this.wrong = wrong;
         this.nodes = nodes;
     }
@@ -31,11 +31,11 @@
         JsonObject config = JsonParser.parseString(Files.readString(Path.of(System.getenv("GW_CONFIG"))))
                 .getAsJsonObject();
         int port = Integer.parseInt(config.get("listen").getAsString().split(":")[1]);
-        WrongRouter router =
-                new WrongRouter(args[0], config.getAsJsonObject("known").getAsJsonArray("instances"));
+        FaultyRouter router =
+                new FaultyRouter(args[0], config.getAsJsonObject("known").getAsJsonArray("instances"));
         watch(config.get("discovery").getAsString());
         if (System.getenv("GW_FLEET") != null) {
-            WrongMember.start(config.get("name").getAsString(), args[0].equals("faithless"));
+            FaultyMember.start(config.get("name").getAsString(), args[0].equals("faithless"));
         }
         try (ServerSocket listening = new ServerSocket(port, 200, InetAddress.getByName("127.0.0.1"))) {
             while (true) {
--- a/lab/src/test/java/stagepier/lab/FleetPlayTest.java
+++ b/lab/src/test/java/stagepier/lab/FleetPlayTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import stagepier.lab.check.Promise;
+import stagepier.lab.check.Guarantee;
 import stagepier.lab.check.Verdict;
 import stagepier.lab.check.Verdict.State;
 import stagepier.lab.fleet.Experiment;
@@ -66,12 +66,13 @@
                 folder)) {
             result = experiment.run(p -> {});
         }
-        Map<Promise, Verdict> verdicts = new EnumMap<>(Promise.class);
+        Map<Guarantee, Verdict> verdicts = new EnumMap<>(Guarantee.class);
         result.verdicts().forEach(v -> verdicts.put(v.promise(), v));
         for (Verdict v : verdicts.values()) {
             assertTrue(!v.isBroken(), v + " " + v.lines());
         }
-        for (Promise p : List.of(Promise.P1, Promise.P2, Promise.P3, Promise.P5, Promise.P6, Promise.P8)) {
+        for (Guarantee p :
+                List.of(Guarantee.P1, Guarantee.P2, Guarantee.P3, Guarantee.P5, Guarantee.P6, Guarantee.P8)) {
             assertEquals(State.KEPT, verdicts.get(p).state(), verdicts.get(p).toString());
         }
         assertEquals(List.of(), result.breaches());
--- a/lab/src/test/java/stagepier/lab/FleetScenarioTest.java
+++ b/lab/src/test/java/stagepier/lab/FleetScenarioTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import stagepier.lab.check.Promise;
+import stagepier.lab.check.Guarantee;
 import stagepier.lab.check.Verdict;
 import stagepier.lab.check.Verdict.State;
 import stagepier.lab.fleet.Experiment;
@@ -25,7 +25,7 @@
  * out in each.
  */
 @Timeout(90)
-class TogetherTest {
+class FleetScenarioTest {
     private static final String SCENARIO = """
             [fleet]
             nodes = 2
@@ -60,15 +60,15 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
-                WrongRouter.class.getName(),
+                FaultyRouter.class.getName(),
                 how);
         try (Experiment experiment = new Experiment(ScenarioReader.parse("test", SCENARIO), 5, command, folder)) {
             return experiment.run(p -> {});
         }
     }
 
-    private static Map<Promise, Verdict> byPromise(RunResult result) {
-        Map<Promise, Verdict> all = new EnumMap<>(Promise.class);
+    private static Map<Guarantee, Verdict> byPromise(RunResult result) {
+        Map<Guarantee, Verdict> all = new EnumMap<>(Guarantee.class);
         result.verdicts().forEach(v -> all.put(v.promise(), v));
         return all;
     }
@@ -76,11 +76,12 @@
     @Test
     void aFleetThatKeepsItsPromisesIsFoundToDoSo() throws Exception {
         RunResult result = run("none");
-        Map<Promise, Verdict> verdicts = byPromise(result);
+        Map<Guarantee, Verdict> verdicts = byPromise(result);
         for (Verdict v : verdicts.values()) {
             assertTrue(!v.isBroken(), v + " " + v.lines());
         }
-        for (Promise p : List.of(Promise.P1, Promise.P2, Promise.P3, Promise.P4, Promise.P5, Promise.P8, Promise.P12)) {
+        for (Guarantee p : List.of(
+                Guarantee.P1, Guarantee.P2, Guarantee.P3, Guarantee.P4, Guarantee.P5, Guarantee.P8, Guarantee.P12)) {
             assertEquals(State.KEPT, verdicts.get(p).state(), verdicts.get(p).toString());
         }
         assertTrue(
@@ -96,7 +97,7 @@
         for (Verdict v : byPromise(result).values()) {
             assertEquals(State.BROKEN, v.state(), v.toString());
         }
-        assertEquals(Promise.values().length, result.verdicts().size());
+        assertEquals(Guarantee.values().length, result.verdicts().size());
         assertTrue(!result.isClean(), "a broken promise is a broken run");
     }
 }
--- a/lab/src/test/java/stagepier/lab/LedgerTest.java
+++ b/lab/src/test/java/stagepier/lab/LedgerTest.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import stagepier.lab.ledger.Breach;
-import stagepier.lab.ledger.Breach.Rule;
 import stagepier.lab.ledger.Event;
 import stagepier.lab.ledger.Event.End;
 import stagepier.lab.ledger.Ledger;
+import stagepier.lab.ledger.Violation;
+import stagepier.lab.ledger.Violation.Rule;
 import stagepier.lab.model.RequestKind;
 import stagepier.lab.model.RequestKind.Repeat;
 
@@ -26,11 +26,11 @@
 
     private List<Rule> broken() {
         return new Ledger(KINDS, 1)
-                .judge(events, 100).stream().map(Breach::rule).toList();
+                .judge(events, 100).stream().map(Violation::rule).toList();
     }
 
     private void asked(double at, long request, int kind) {
-        events.add(new Event.Asked(at, request, 0, kind, 7, 1));
+        events.add(new Event.RequestSent(at, request, 0, kind, 7, 1));
     }
 
     private void ran(double at, long request, int node) {
@@ -44,7 +44,7 @@
     private void served(long request, int kind, double at) {
         asked(at, request, kind);
         ran(at + 0.01, request, 1);
-        events.add(new Event.Made(at + 0.02, request, 1, request * 10));
+        events.add(new Event.AnswerMade(at + 0.02, request, 1, request * 10));
         ended(at + 0.03, request, End.SERVED, request * 10);
     }
 
@@ -67,9 +67,9 @@
         // Closed between requests, not read, not run.
         asked(30, 6, 0);
         ended(30.001, 6, End.CLOSED_IDLE, 0);
-        events.add(new Event.Told(40, 0, 3, false));
+        events.add(new Event.Announced(40, 0, 3, false));
         ranFrom(40.9, 8);
-        events.add(new Event.Told(42, 0, 3, true));
+        events.add(new Event.Announced(42, 0, 3, true));
         ranFrom(50, 9);
         events.add(new Event.Stopped(60, 0.2));
         assertEquals(List.of(), broken());
@@ -94,7 +94,7 @@
         ended(9.1, 4, End.CLOSED, 0);
         asked(10, 5, 0);
         ended(11.02, 5, End.UNANSWERED, 0);
-        events.add(new Event.Stray(12, 0, "VA 1 Oabc"));
+        events.add(new Event.UnexpectedLine(12, 0, "VA 1 Oabc"));
         ran(13, 99, 1);
         // It was closed after it had been read and sent on.
         asked(14, 6, 0);
@@ -128,8 +128,8 @@
 
     @Test
     void workForANodeThatDrains() {
-        events.add(new Event.Told(5, 0, 3, false));
-        events.add(new Event.Told(5.5, 0, 3, false));
+        events.add(new Event.Announced(5, 0, 3, false));
+        events.add(new Event.Announced(5.5, 0, 3, false));
         ranFrom(6.2, 1);
         assertEquals(List.of(Rule.DRAINS), broken());
     }
@@ -139,7 +139,7 @@
     void aRouterThatStoodStill() {
         events.add(new Event.Stalled(5, 0, true));
         asked(6, 1, 0);
-        events.add(new Event.Told(6, 0, 3, false));
+        events.add(new Event.Announced(6, 0, 3, false));
         events.add(new Event.Stalled(8, 0, false));
         ended(8.1, 1, End.UNANSWERED, 0);
         assertEquals(List.of(), broken());
@@ -150,19 +150,19 @@
     /** What discovery says ends no ban; the word of staff at that router does. */
     @Test
     void workForANodeThatStaffTookOut() {
-        events.add(new Event.Staff(5, 0, 3, true));
-        events.add(new Event.Told(5.5, 0, 3, true));
+        events.add(new Event.OperatorChange(5, 0, 3, true));
+        events.add(new Event.Announced(5.5, 0, 3, true));
         ranFrom(5.9, 1);
         assertEquals(List.of(), broken());
         ranFrom(6.2, 2);
-        events.add(new Event.Staff(7, 0, 3, false));
+        events.add(new Event.OperatorChange(7, 0, 3, false));
         ranFrom(9, 3);
         assertEquals(List.of(Rule.DRAINS), broken());
     }
 
     @Test
     void nodesAndAnOriginThatWerePushedOver() {
-        events.add(new Event.Fell(5, 3));
+        events.add(new Event.NodeOverloaded(5, 3));
         events.add(new Event.Stopped(6, 0.31));
         assertEquals(List.of(Rule.COLD_NODES, Rule.ORIGIN), broken());
     }
@@ -171,14 +171,14 @@
     @Test
     void aCopyIsNobodysRequestAndStillHeedsADrain() {
         long copy = Event.COPIES | 5;
-        List<Event> events =
-                new ArrayList<>(List.of(new Event.Arrived(1, 1, copy, 0, 0, true), new Event.Made(1.1, copy, 0, 7)));
+        List<Event> events = new ArrayList<>(
+                List.of(new Event.Arrived(1, 1, copy, 0, 0, true), new Event.AnswerMade(1.1, copy, 0, 7)));
         assertEquals(List.of(), new Ledger(KINDS, 1).judge(events, 20));
-        events.add(new Event.Told(2, 0, 0, false));
+        events.add(new Event.Announced(2, 0, 0, false));
         events.add(new Event.Arrived(5, 5, copy, 0, 0, true));
         assertEquals(
                 List.of(Rule.DRAINS),
                 new Ledger(KINDS, 1)
-                        .judge(events, 20).stream().map(Breach::rule).toList());
+                        .judge(events, 20).stream().map(Violation::rule).toList());
     }
 }
--- a/lab/src/test/java/stagepier/lab/ModelTest.java
+++ b/lab/src/test/java/stagepier/lab/ModelTest.java
@@ -14,7 +14,7 @@
 import stagepier.lab.model.NodeModel;
 import stagepier.lab.model.OriginModel;
 import stagepier.lab.model.OriginModel.Cause;
-import stagepier.lab.model.Planned;
+import stagepier.lab.model.PlannedRequest;
 import stagepier.lab.model.Randoms;
 import stagepier.lab.model.RequestKind;
 import stagepier.lab.model.RequestKind.Repeat;
@@ -30,20 +30,20 @@
 
     @Test
     void oneSeedDrawsTheSameAndAnotherDoesNot() {
-        List<Planned> plan = Arrivals.draw(new Randoms(7), demand(Shape.WAVE, 0.2), KINDS);
+        List<PlannedRequest> plan = Arrivals.draw(new Randoms(7), demand(Shape.WAVE, 0.2), KINDS);
         assertEquals(plan, Arrivals.draw(new Randoms(7), demand(Shape.WAVE, 0.2), KINDS));
         assertNotEquals(plan, Arrivals.draw(new Randoms(8), demand(Shape.WAVE, 0.2), KINDS));
     }
 
     @Test
     void arrivalsHaveTheRateTheSharesAndTheShape() {
-        List<Planned> plan = Arrivals.draw(new Randoms(7), demand(Shape.STEADY, 0), KINDS);
+        List<PlannedRequest> plan = Arrivals.draw(new Randoms(7), demand(Shape.STEADY, 0), KINDS);
         assertEquals(20_000, plan.size(), 600);
         assertEquals(0.25, plan.stream().filter(p -> p.kind() == 1).count() / (double) plan.size(), 0.02);
         long first = plan.stream().filter(p -> p.router() == 0).count();
         long last = plan.stream().filter(p -> p.router() == 3).count();
         assertEquals(3.375, first / (double) last, 0.4);
-        List<Planned> burst = Arrivals.draw(new Randoms(7), demand(Shape.BURST, 5), KINDS);
+        List<PlannedRequest> burst = Arrivals.draw(new Randoms(7), demand(Shape.BURST, 5), KINDS);
         assertEquals(
                 2500, burst.stream().filter(p -> p.at() >= 10 && p.at() < 11).count(), 250);
         assertEquals(
--- a/lab/src/test/java/stagepier/lab/ScenarioReaderTest.java
+++ b/lab/src/test/java/stagepier/lab/ScenarioReaderTest.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import stagepier.lab.scenario.BadScenarioException;
 import stagepier.lab.scenario.Fault;
+import stagepier.lab.scenario.FleetScenario;
+import stagepier.lab.scenario.InvalidScenarioException;
 import stagepier.lab.scenario.Scenario;
 import stagepier.lab.scenario.ScenarioReader;
-import stagepier.lab.scenario.Together;
 
 class ScenarioReaderTest {
     @Test
@@ -62,7 +62,7 @@
                 [[fault]]
                 kind = "hang"
                 """;
-        String message = assertThrows(BadScenarioException.class, () -> ScenarioReader.parse("f.toml", text))
+        String message = assertThrows(InvalidScenarioException.class, () -> ScenarioReader.parse("f.toml", text))
                 .getMessage();
         for (String line : List.of(
                 "f.toml:1: name: must be lower-case",
@@ -92,9 +92,10 @@
                 from_s = 4
                 scope = "kind:RESTORE"
                 """;
-        Together t = ScenarioReader.parse("x", text).together();
+        FleetScenario t = ScenarioReader.parse("x", text).together();
         assertEquals(
-                new Together.Proposal(2, List.of(1), List.of(new Together.Window("window", 4, 86_400, "kind:RESTORE"))),
+                new FleetScenario.Proposal(
+                        2, List.of(1), List.of(new FleetScenario.Window("window", 4, 86_400, "kind:RESTORE"))),
                 t.proposals().get(0));
         assertEquals(List.of(0.5, 2.0), List.of(t.lease(), t.skew()));
         assertEquals(List.of(0, 1500, 0), List.of(t.clockOffset(0), t.clockOffset(1), t.clockOffset(2)));
@@ -105,7 +106,7 @@
                         .replace("kind:RESTORE", "some")
                         .replace("from_s = 4", "from_s = 4\nuntil_s = 3")
                 + "lenght = 3\n";
-        String message = assertThrows(BadScenarioException.class, () -> ScenarioReader.parse("f", bad))
+        String message = assertThrows(InvalidScenarioException.class, () -> ScenarioReader.parse("f", bad))
                 .getMessage();
         for (String line : List.of(
                 "f:3: together.clock_offsets_ms: names more",
@@ -121,7 +122,7 @@
     @Test
     void whatIsNoTomlIsToldByLine() {
         for (var bad : Map.of("a = ", 1, "[x\n", 1, "a = 1\na = 2\n", 2).entrySet()) {
-            String message = assertThrows(BadScenarioException.class, () -> ScenarioReader.parse("f", bad.getKey()))
+            String message = assertThrows(InvalidScenarioException.class, () -> ScenarioReader.parse("f", bad.getKey()))
                     .getMessage();
             assertTrue(message.startsWith("f:" + bad.getValue() + ": "), message);
         }
--- a/lab/src/test/java/stagepier/lab/capacity/CapacityCommandTest.java
+++ b/lab/src/test/java/stagepier/lab/capacity/CapacityCommandTest.java
@@ -35,15 +35,16 @@
     @BeforeEach
     void makeUp() {
         samples = new ArrayList<>();
-        List<Integer> until800 = MadeUpSamples.SIZES.subList(0, 5);
+        List<Integer> until800 = SyntheticSamples.SIZES.subList(0, 5);
         samples.addAll(
-                MadeUpSamples.of(Conversation.LOAD_REPORTS, Figure.BYTES_IN, until800, n -> 203.0 * n, NOISE, 1));
-        samples.addAll(MadeUpSamples.of(Conversation.LOAD_REPORTS, Figure.BYTES_OUT, until800, n -> 203, NOISE, 2));
-        samples.addAll(MadeUpSamples.of(
-                Conversation.PROCESS, Figure.PROCESSOR, MadeUpSamples.SIZES, n -> 0.002 + 1e-6 * n * n, NOISE, 3));
-        samples.addAll(MadeUpSamples.of(Conversation.PROCESS, Figure.THREADS, MadeUpSamples.SIZES, n -> 26, 0, 4));
+                SyntheticSamples.of(Conversation.LOAD_REPORTS, Figure.BYTES_IN, until800, n -> 203.0 * n, NOISE, 1));
+        samples.addAll(SyntheticSamples.of(Conversation.LOAD_REPORTS, Figure.BYTES_OUT, until800, n -> 203, NOISE, 2));
+        samples.addAll(SyntheticSamples.of(
+                Conversation.PROCESS, Figure.PROCESSOR, SyntheticSamples.SIZES, n -> 0.002 + 1e-6 * n * n, NOISE, 3));
         samples.addAll(
-                MadeUpSamples.of(Conversation.DISCOVERY, Figure.CHANGE_BYTES, List.of(50, 100), n -> 150.0 * n, 0, 5));
+                SyntheticSamples.of(Conversation.PROCESS, Figure.THREADS, SyntheticSamples.SIZES, n -> 26, 0, 4));
+        samples.addAll(SyntheticSamples.of(
+                Conversation.DISCOVERY, Figure.CHANGE_BYTES, List.of(50, 100), n -> 150.0 * n, 0, 5));
     }
 
     private int run(String... arguments) {
@@ -55,7 +56,7 @@
     }
 
     private Path file(String invalid) throws Exception {
-        return Files.writeString(folder.resolve("results.json"), MadeUpSamples.json(samples, invalid));
+        return Files.writeString(folder.resolve("results.json"), SyntheticSamples.json(samples, invalid));
     }
 
     @Test
@@ -126,7 +127,7 @@
         assertEquals(Cli.IO_ERROR, run(folder.resolve("none.json").toString()));
         assertEquals(1, err.toString().lines().count(), err.toString());
         Path bad = Files.writeString(
-                folder.resolve("bad.json"), MadeUpSamples.json(samples, "").replaceFirst("BYTES_IN", "BITES_IN"));
+                folder.resolve("bad.json"), SyntheticSamples.json(samples, "").replaceFirst("BYTES_IN", "BITES_IN"));
         assertEquals(Cli.IO_ERROR, run(bad.toString()));
         assertTrue(err.toString().contains("bad.json: samples[0].figure: must be one of"), err.toString());
         assertEquals(1, err.toString().lines().count(), err.toString());
--- a/lab/src/test/java/stagepier/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/stagepier/lab/capacity/CapacityPageTest.java
@@ -40,11 +40,12 @@
 
     @BeforeEach
     void results() throws Exception {
-        samples = new ArrayList<>(MadeUpSamples.of(
-                Conversation.LOAD_REPORTS, Figure.BYTES_IN, MadeUpSamples.SIZES, n -> 100 + 200.0 * n, 0, 1));
-        List<Integer> until800 = MadeUpSamples.SIZES.subList(0, 5);
-        samples.addAll(MadeUpSamples.of(Conversation.PROCESS, Figure.PROCESSOR, until800, n -> 2e-5 * n - 1e-5, 0, 1));
-        Files.writeString(folder.resolve("r.json"), MadeUpSamples.json(samples, ""));
+        samples = new ArrayList<>(SyntheticSamples.of(
+                Conversation.LOAD_REPORTS, Figure.BYTES_IN, SyntheticSamples.SIZES, n -> 100 + 200.0 * n, 0, 1));
+        List<Integer> until800 = SyntheticSamples.SIZES.subList(0, 5);
+        samples.addAll(
+                SyntheticSamples.of(Conversation.PROCESS, Figure.PROCESSOR, until800, n -> 2e-5 * n - 1e-5, 0, 1));
+        Files.writeString(folder.resolve("r.json"), SyntheticSamples.json(samples, ""));
     }
 
     private List<String> findings(String text) throws Exception {
@@ -136,7 +137,7 @@
 
     @Test
     void runsThatDidNotKeepTheirPaceHaveToBeNamed() throws Exception {
-        Files.writeString(folder.resolve("r.json"), MadeUpSamples.json(samples, "\"late\""));
+        Files.writeString(folder.resolve("r.json"), SyntheticSamples.json(samples, "\"late\""));
         assertEquals(1, findings(GOOD).size());
         assertEquals(List.of(), findings(GOOD + "\nOne run in r.json was not valid.\n"));
     }
--- a/lab/src/test/java/stagepier/lab/capacity/CrossingTest.java
+++ b/lab/src/test/java/stagepier/lab/capacity/CrossingTest.java
@@ -12,7 +12,7 @@
 
 class CrossingTest {
     private static CapacityRow row(Figure figure, IntToDoubleFunction growth) {
-        return CapacityRow.of(MadeUpSamples.series(figure, MadeUpSamples.SIZES, growth, 0, 1), 1900);
+        return CapacityRow.of(SyntheticSamples.series(figure, SyntheticSamples.SIZES, growth, 0, 1), 1900);
     }
 
     private static Crossing crossing(Figure figure, IntToDoubleFunction growth) {
--- a/lab/src/test/java/stagepier/lab/capacity/GrowthChoiceTest.java
+++ b/lab/src/test/java/stagepier/lab/capacity/GrowthChoiceTest.java
@@ -29,7 +29,7 @@
             int within = 0;
             for (int seed = 0; seed < DRAWS; seed++) {
                 GrowthChoice choice = GrowthChoice.of(
-                        MadeUpSamples.series(Figure.BYTES_IN, MadeUpSamples.SIZES, one.growth(), NOISE, seed));
+                        SyntheticSamples.series(Figure.BYTES_IN, SyntheticSamples.SIZES, one.growth(), NOISE, seed));
                 Fit fit = choice.chosen().orElseThrow();
                 found += fit.model() == one.model() ? 1 : 0;
                 within += fit.model() == one.model()
@@ -53,7 +53,8 @@
     @Test
     void growthWithoutNoiseIsFoundToTheDigit() {
         for (Case one : CASES) {
-            Fit fit = GrowthChoice.of(MadeUpSamples.series(Figure.BYTES_IN, MadeUpSamples.SIZES, one.growth(), 0, 1))
+            Fit fit = GrowthChoice.of(
+                            SyntheticSamples.series(Figure.BYTES_IN, SyntheticSamples.SIZES, one.growth(), 0, 1))
                     .chosen()
                     .orElseThrow();
             assertEquals(one.model(), fit.model());
@@ -65,7 +66,7 @@
     @Test
     void theErrorIsThatOfTheNoise() {
         Fit fit = GrowthChoice.of(
-                        MadeUpSamples.series(Figure.BYTES_IN, MadeUpSamples.SIZES, n -> 90 + 203.0 * n, NOISE, 7))
+                        SyntheticSamples.series(Figure.BYTES_IN, SyntheticSamples.SIZES, n -> 90 + 203.0 * n, NOISE, 7))
                 .chosen()
                 .orElseThrow();
         assertEquals(NOISE, fit.relativeError(), 0.5 * NOISE);
@@ -79,9 +80,10 @@
     void smallSizesCountAsMuchAsLargeOnes() {
         IntToDoubleFunction growth = n -> 0.002 + 3e-5 * n + 2e-6 * n * n;
         for (int seed = 0; seed < DRAWS; seed++) {
-            Fit fit = new Regression(MadeUpSamples.series(Figure.PROCESSOR, MadeUpSamples.SIZES, growth, NOISE, seed))
+            Fit fit = new Regression(
+                            SyntheticSamples.series(Figure.PROCESSOR, SyntheticSamples.SIZES, growth, NOISE, seed))
                     .fit(GrowthModel.QUADRATIC);
-            for (int routers : MadeUpSamples.SIZES) {
+            for (int routers : SyntheticSamples.SIZES) {
                 assertEquals(
                         growth.applyAsDouble(routers),
                         fit.at(routers),
@@ -94,7 +96,7 @@
     @Test
     void whatIsNotPlayedIsExtrapolatedWithItsError() {
         FigureSeries series =
-                MadeUpSamples.series(Figure.BYTES_IN, List.of(50, 100, 200, 400), n -> 90 + 203.0 * n, NOISE, 3);
+                SyntheticSamples.series(Figure.BYTES_IN, List.of(50, 100, 200, 400), n -> 90 + 203.0 * n, NOISE, 3);
         SizeEstimate at = CapacityRow.of(series, 1900).atTarget();
         assertFalse(at.isMeasured());
         assertEquals("extrapolated from 50, 100, 200, 400", at.basis());
@@ -108,7 +110,7 @@
 
     @Test
     void fewSizesChooseNoModel() {
-        FigureSeries three = MadeUpSamples.series(Figure.BYTES_IN, List.of(50, 100, 200), n -> 203.0 * n, 0, 1);
+        FigureSeries three = SyntheticSamples.series(Figure.BYTES_IN, List.of(50, 100, 200), n -> 203.0 * n, 0, 1);
         GrowthChoice choice = GrowthChoice.of(three);
         assertTrue(choice.chosen().isEmpty());
         assertEquals("no model can be chosen from 3 sizes and 9 values (4 and 6 are needed)", choice.why());
@@ -135,7 +137,7 @@
 
     @Test
     void nothingAtAllIsConstant() {
-        Fit fit = GrowthChoice.of(MadeUpSamples.series(Figure.MESSAGES_IN, MadeUpSamples.SIZES, n -> 0, 0, 1))
+        Fit fit = GrowthChoice.of(SyntheticSamples.series(Figure.MESSAGES_IN, SyntheticSamples.SIZES, n -> 0, 0, 1))
                 .chosen()
                 .orElseThrow();
         assertEquals(GrowthModel.CONSTANT, fit.model());
@@ -148,7 +150,7 @@
         assertEquals(
                 List.of("26 (+/- 0)", "0.0000000200", "387 KB/s", "1.90 KB/s", "68.4 MB", "0", "-222 B/s", "38,745"),
                 List.of(
-                        GrowthChoice.of(MadeUpSamples.series(Figure.THREADS, MadeUpSamples.SIZES, n -> 26, 0, 1))
+                        GrowthChoice.of(SyntheticSamples.series(Figure.THREADS, SyntheticSamples.SIZES, n -> 26, 0, 1))
                                 .chosen()
                                 .orElseThrow()
                                 .formula("count")
@@ -165,7 +167,7 @@
     /** Two models that explain the values about as well are both named. */
     @Test
     void whatCannotBeToldApartIsSaid() {
-        FigureSeries noisy = MadeUpSamples.series(Figure.BYTES_IN, List.of(50, 60, 70, 80), n -> 100 + n, 0.1, 5);
+        FigureSeries noisy = SyntheticSamples.series(Figure.BYTES_IN, List.of(50, 60, 70, 80), n -> 100 + n, 0.1, 5);
         GrowthChoice choice = GrowthChoice.of(noisy);
         assertFalse(choice.alsoSupported().isEmpty(), choice.toString());
         assertTrue(CapacityText.growth(choice).contains("(or "), CapacityText.growth(choice));
--- a/lab/src/test/java/stagepier/lab/capacity/ResultsReaderTest.java
+++ b/lab/src/test/java/stagepier/lab/capacity/ResultsReaderTest.java
@@ -77,7 +77,8 @@
                 Map.entry(GOOD.replace("\"command\"", "\"commands\""), "r.json: command: is missing"),
                 Map.entry(GOOD.replace("\"50 routers: 1.2 s late\"", "7"), "r.json: invalid[0]: must be a text"));
         errors.forEach((text, start) -> {
-            String message = assertThrows(BadResultsException.class, () -> ResultsReader.parse("r.json", text), start)
+            String message = assertThrows(
+                            InvalidResultsException.class, () -> ResultsReader.parse("r.json", text), start)
                     .getMessage();
             assertEquals(start, message.substring(0, Math.min(start.length(), message.length())));
             assertEquals(1, message.lines().count(), message);
@@ -104,7 +105,7 @@
         List<ResultsFile> twice = List.of(ResultsReader.parse("a.json", GOOD), ResultsReader.parse("b.json", GOOD));
         assertEquals(
                 "b.json: samples[0]: LOAD_REPORTS BYTES_IN, 50 routers, seed 1 stands in a.json already",
-                assertThrows(BadResultsException.class, () -> CapacityReport.of(twice, 1900))
+                assertThrows(InvalidResultsException.class, () -> CapacityReport.of(twice, 1900))
                         .getMessage());
     }
 
--- a/lab/src/test/java/stagepier/lab/capacity/SyntheticSamples.java
+++ b/lab/src/test/java/stagepier/lab/capacity/SyntheticSamples.java
@@ -10,11 +10,11 @@
 import stagepier.lab.scale.Sample;
 
 /** Samples of known growth for tests, with noise that is a part of the value and comes from a fixed seed. */
-final class MadeUpSamples {
+final class SyntheticSamples {
     static final List<Integer> SIZES = List.of(50, 100, 200, 400, 800, 1900);
     static final int SEEDS = 3;
 
-    private MadeUpSamples() {}
+    private SyntheticSamples() {}
 
     static List<Sample> of(
             Conversation conversation,
--- a/lab/src/test/java/stagepier/lab/check/History.java
+++ b/lab/src/test/java/stagepier/lab/check/History.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import stagepier.lab.check.Evidence.Limits;
+import stagepier.lab.check.Evidence.Observations;
 import stagepier.lab.check.Evidence.Proposal;
-import stagepier.lab.check.Evidence.Seen;
-import stagepier.lab.check.Timeline.Hearing;
+import stagepier.lab.check.Timeline.Connectivity;
 
 /** The histories of five routers, a line at a time, in the form in which the lab keeps them. */
 final class History {
@@ -21,9 +21,9 @@
     private final Map<String, List<String>> lines = new LinkedHashMap<>();
     private final Map<Integer, List<Span>> still = new LinkedHashMap<>();
     private final List<Proposal> proposals = new ArrayList<>();
-    private Hearing hearing = (to, from, at) -> true;
+    private Connectivity hearing = (to, from, at) -> true;
     private double lastFault;
-    private Seen seen = Seen.NOTHING;
+    private Observations seen = Observations.NOTHING;
 
     History say(double at, int router, long incarnation, String event, Object... namesAndValues) {
         Map<String, Object> line = new LinkedHashMap<>();
@@ -91,7 +91,7 @@
         return this;
     }
 
-    History seen(Seen what) {
+    History seen(Observations what) {
         seen = what;
         return this;
     }
@@ -107,7 +107,7 @@
         return told;
     }
 
-    Verdict judge(Promise promise) {
+    Verdict judge(Guarantee promise) {
         Evidence evidence = new Evidence(
                 told(),
                 new Timeline(ROUTERS, still, hearing, 60),
--- a/lab/src/test/java/stagepier/lab/fleet/SimulatedWatcherBesideRouterTest.java
+++ b/lab/src/test/java/stagepier/lab/fleet/SimulatedWatcherBesideRouterTest.java
@@ -26,10 +26,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import stagepier.lab.model.Randoms;
-import stagepier.lab.scale.discovery.HollowWatcher;
 import stagepier.lab.scale.discovery.NettyConnector;
+import stagepier.lab.scale.discovery.SimulatedWatcher;
 import stagepier.lab.scale.discovery.WatchTimes;
 import stagepier.lab.scenario.ScenarioReader;
+import stagepier.lab.standin.DiscoveryBehaviour;
 import stagepier.lab.standin.DiscoveryFront;
 import stagepier.lab.standin.DiscoveryService;
 import stagepier.lab.standin.Fleet;
@@ -37,14 +38,13 @@
 import stagepier.lab.standin.LabClock;
 import stagepier.lab.standin.LoopScheduler;
 import stagepier.lab.standin.Recorder;
-import stagepier.lab.standin.ServiceManners;
 
 /**
  * A real router's calls to discovery beside those of hollow watchers, as stand-ins of their own see them through calm,
  * a change, an outage and the return: the same kinds of requests, of the same bytes, as often.
  */
 @Timeout(45)
-class HollowWatcherBesideRouterTest {
+class SimulatedWatcherBesideRouterTest {
     private static final int SERVERS = 12;
     private static final int HOLLOW = 12;
     private static final String SCENARIO = "[fleet]\nnodes = 2\nrouters = 1\n";
@@ -58,16 +58,16 @@
 
     /** How lists come to routers, and what a watch is like there. */
     private enum Mode {
-        PUSHED("push", ServiceManners.PUSHED, WatchTimes.OF_AGENT),
-        ASKED("ask", new ServiceManners(true, 0.0005, 0.00002, 1, 4000, false), WatchTimes.OF_SHARED_SERVICE);
+        PUSHED("push", DiscoveryBehaviour.PUSHED, WatchTimes.OF_AGENT),
+        ASKED("ask", new DiscoveryBehaviour(true, 0.0005, 0.00002, 1, 4000, false), WatchTimes.OF_SHARED_SERVICE);
 
         /** The word of the settings. */
         private final String setting;
 
-        private final ServiceManners manners;
+        private final DiscoveryBehaviour manners;
         private final WatchTimes times;
 
-        Mode(String setting, ServiceManners manners, WatchTimes times) {
+        Mode(String setting, DiscoveryBehaviour manners, WatchTimes times) {
             this.setting = setting;
             this.manners = manners;
             this.times = times;
@@ -92,7 +92,7 @@
         private final List<Request> requests = new ArrayList<>();
         private int connections;
 
-        private Seen(ServiceManners manners) throws InterruptedException {
+        private Seen(DiscoveryBehaviour manners) throws InterruptedException {
             service = new DiscoveryService(new LoopScheduler(loop, clock), manners);
             front = new DiscoveryFront(loop, service, this);
             front.listen();
@@ -198,12 +198,12 @@
     private void startHollow(Mode mode, Seen seen, int number) throws Exception {
         onLoop(() -> {
             var random = new Randoms(1).of("watcher-" + number);
-            new HollowWatcher(
+            new SimulatedWatcher(
                             new LoopScheduler(loop, clock),
                             NettyConnector.to(loop, seen.front.port()),
                             mode.times,
                             random::nextInt,
-                            new HollowWatcher.Events() {},
+                            new SimulatedWatcher.Events() {},
                             SERVERS)
                     .start();
             return null;
--- a/lab/src/test/java/stagepier/lab/nemesis/NemesisTest.java
+++ b/lab/src/test/java/stagepier/lab/nemesis/NemesisTest.java
@@ -109,7 +109,7 @@
         assertTrue(lost > 80 && lost < 160, lost + " of 400 lost");
         assertTrue(doubled > 50 && doubled < 120, doubled + " of 400 doubled");
         assertArrayEquals(
-                new double[] {Treatment.OVERTAKEN},
+                new double[] {LinkConditions.REORDER_DELAY},
                 nemesis(7, fault(Shape.REORDER, List.of(0), List.of(), 1)).deliveries(Link.PEERS, 0, 1, 106),
                 1e-9);
         assertEquals(
--- a/lab/src/test/java/stagepier/lab/scale/BoundedReportFaultsTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/BoundedReportFaultsTest.java
@@ -93,11 +93,11 @@
         fanOut.close();
     }
 
-    private List<HollowRouter> hollowRouters() {
+    private List<SimulatedRouter> hollowRouters() {
         Randoms randoms = new Randoms(SEED);
-        List<HollowRouter> hollow = new ArrayList<>();
+        List<SimulatedRouter> hollow = new ArrayList<>();
         for (int number = REAL; number < ROUTERS; number++) {
-            hollow.add(new HollowRouter(
+            hollow.add(new SimulatedRouter(
                     number,
                     number % ZONES,
                     LoadReportModel.bounded(StatedLoad.SHORTEST_DEADLINE, ROUTERS),
--- a/lab/src/test/java/stagepier/lab/scale/ReportComparisonTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/ReportComparisonTest.java
@@ -24,7 +24,7 @@
         Randoms randoms = new Randoms(seed);
         List<List<SentReport>> all = new ArrayList<>();
         for (int number = 0; number < ROUTERS; number++) {
-            HollowRouter router = new HollowRouter(
+            SimulatedRouter router = new SimulatedRouter(
                     number,
                     0,
                     LoadReportModel.everyPeriod(deadline),
--- a/lab/src/test/java/stagepier/lab/scale/ScalePlanTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/ScalePlanTest.java
@@ -15,36 +15,38 @@
 
 /** A plan is refused before anything starts where there is not the room for it, and options that make no sense are. */
 class ScalePlanTest {
-    private static final MachineRoom WIDE = new MachineRoom(64L << 30, 1_000_000, 28_000);
+    private static final MachineResources WIDE = new MachineResources(64L << 30, 1_000_000, 28_000);
 
     private static ScalePlan plan(int routers, int real) {
         return new ScalePlan(List.of(50, routers), real, List.of(1L), 10, 6, ReportPacing.EVERY);
     }
 
-    private static String refusal(ScalePlan plan, MachineRoom room) {
+    private static String refusal(ScalePlan plan, MachineResources room) {
         return assertThrows(
-                        PlanTooLargeException.class, () -> ScaleNeeds.of(plan).check(room))
+                        PlanTooLargeException.class,
+                        () -> ScaleRequirements.of(plan).check(room))
                 .getMessage();
     }
 
     @Test
     void theLargestFleetOfTheProjectHasRoom() {
-        assertDoesNotThrow(() -> ScaleNeeds.of(plan(1900, 3)).check(new MachineRoom(12L << 30, 20_000, 28_000)));
+        assertDoesNotThrow(
+                () -> ScaleRequirements.of(plan(1900, 3)).check(new MachineResources(12L << 30, 20_000, 28_000)));
     }
 
     @Test
     void eachBoundIsNamedThatAPlanWouldPass() {
-        String most = refusal(plan(200, 65), new MachineRoom(64L << 30, 1_000_000, 1_000_000));
+        String most = refusal(plan(200, 65), new MachineResources(64L << 30, 1_000_000, 1_000_000));
         assertTrue(most.matches("too large for this machine: \\d+ MB of memory needed, 12288 at the most"), most);
         String processes = refusal(plan(400, 300), WIDE);
         assertTrue(processes.contains("301 processes needed, 300 at the most"), processes);
-        String descriptors = refusal(plan(1900, 3), new MachineRoom(12L << 30, 1024, 28_000));
+        String descriptors = refusal(plan(1900, 3), new MachineResources(12L << 30, 1024, 28_000));
         assertTrue(
                 descriptors.matches("too large for this machine: \\d+ descriptors needed, 1024 at the most"),
                 descriptors);
-        String ports = refusal(plan(1900, 3), new MachineRoom(12L << 30, 20_000, 1000));
+        String ports = refusal(plan(1900, 3), new MachineResources(12L << 30, 20_000, 1000));
         assertTrue(ports.matches("too large for this machine: \\d+ ports needed, 1000 at the most"), ports);
-        String memory = refusal(plan(1900, 3), new MachineRoom(1L << 30, 20_000, 28_000));
+        String memory = refusal(plan(1900, 3), new MachineResources(1L << 30, 20_000, 28_000));
         assertTrue(memory.matches("too large for this machine: \\d+ MB of memory needed, 1024 at the most"), memory);
     }
 
--- a/lab/src/test/java/stagepier/lab/scale/SimulatedRouterTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/SimulatedRouterTest.java
@@ -16,7 +16,7 @@
 
 /** Hollow routers beside real router processes, under one load: what both send has to be of one kind. */
 @Timeout(60)
-class HollowRouterTest {
+class SimulatedRouterTest {
     private static final int REAL = 3;
     private static final int ROUTERS = 8;
     private static final long SEED = 11;
--- a/lab/src/test/java/stagepier/lab/scale/discovery/AskedServiceTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/discovery/AskedServiceTest.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import stagepier.lab.standin.DiscoveryBehaviour;
 import stagepier.lab.standin.DiscoveryService;
 import stagepier.lab.standin.HostList;
 import stagepier.lab.standin.LabClock;
-import stagepier.lab.standin.ServiceManners;
 
 /** What the service that is asked does with each call, and what makes a run say that it shows nothing. */
 @Timeout(20)
@@ -24,23 +24,23 @@
     private static final int SERVERS = 4;
 
     private final VirtualDiscovery time =
-            new VirtualDiscovery(new DiscoverySetting(0, SERVERS, 1, ServiceManners.PUSHED, WatchTimes.OF_AGENT));
+            new VirtualDiscovery(new DiscoverySetting(0, SERVERS, 1, DiscoveryBehaviour.PUSHED, WatchTimes.OF_AGENT));
     private final List<String> told = new ArrayList<>();
 
     private DiscoveryService service(
             double perCall, double perLine, double longestWait, int mostWaiting, boolean notices) {
         DiscoveryService service = new DiscoveryService(
-                time, new ServiceManners(true, perCall, perLine, longestWait, mostWaiting, notices));
+                time, new DiscoveryBehaviour(true, perCall, perLine, longestWait, mostWaiting, notices));
         HostNames.publishAll(service, SERVERS);
         return service;
     }
 
     /** Notes when it is told what. */
-    private DiscoveryService.Caller caller(String name, boolean isThere) {
+    private DiscoveryService.Caller caller(String name, boolean isConnected) {
         return new DiscoveryService.Caller() {
             @Override
-            public boolean isThere() {
-                return isThere;
+            public boolean isConnected() {
+                return isConnected;
             }
 
             @Override
@@ -130,7 +130,7 @@
 
     @Test
     void aRunThatIsTooLargeForTheMachineIsNotStarted() {
-        IOException e = assertThrows(IOException.class, () -> RoomCheck.check(1_000_000));
+        IOException e = assertThrows(IOException.class, () -> ResourceCheck.check(1_000_000));
         assertTrue(e.getMessage().startsWith("not started: needs "), e.getMessage());
         assertTrue(e.getMessage().lines().count() == 1, e.getMessage());
     }
@@ -140,7 +140,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             EventLoop loop = group.next();
-            PaceProbe probe = new PaceProbe(loop, new LabClock());
+            EventLoopLagProbe probe = new EventLoopLagProbe(loop, new LabClock());
             probe.start();
             loop.submit(() -> {}).await();
             loop.submit(() -> {
--- a/lab/src/test/java/stagepier/lab/scale/discovery/DiscoveryHerdTest.java
+++ b/lab/src/test/java/stagepier/lab/scale/discovery/DiscoveryHerdTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stagepier.lab.standin.ServiceManners;
+import stagepier.lab.standin.DiscoveryBehaviour;
 
 /** How what discovery sends, and the herd after an outage, grow with the fleet and the list; in virtual time. */
 @Timeout(45)
@@ -22,7 +22,7 @@
     private static final double SETTLED = 5;
     private static final double OUTAGE = 5;
 
-    private static VirtualDiscovery settled(int watches, int servers, ServiceManners manners) {
+    private static VirtualDiscovery settled(int watches, int servers, DiscoveryBehaviour manners) {
         VirtualDiscovery world =
                 new VirtualDiscovery(new DiscoverySetting(watches, servers, 1, manners, WatchTimes.OF_AGENT));
         world.pass(SETTLED);
@@ -30,7 +30,7 @@
     }
 
     private static long bytesOfAChange(int watches, int servers) {
-        VirtualDiscovery world = settled(watches, servers, ServiceManners.PUSHED);
+        VirtualDiscovery world = settled(watches, servers, DiscoveryBehaviour.PUSHED);
         long before = world.newsBytes();
         world.drainOne();
         assertEquals(0, world.untilCurrent(1));
@@ -38,7 +38,7 @@
     }
 
     private static long bytesOfWholeLists(int watches, int servers) {
-        VirtualDiscovery world = settled(watches, servers, ServiceManners.PUSHED);
+        VirtualDiscovery world = settled(watches, servers, DiscoveryBehaviour.PUSHED);
         world.service().down(true);
         world.pass(OUTAGE);
         world.drainOne();
@@ -73,7 +73,7 @@
     @ParameterizedTest
     @ValueSource(ints = {50, 400, 1900})
     void afterAPushedOutageEachRouterIsCurrentByOneCallMore(int watches) {
-        VirtualDiscovery world = settled(watches, 240, ServiceManners.PUSHED);
+        VirtualDiscovery world = settled(watches, 240, DiscoveryBehaviour.PUSHED);
         world.service().down(true);
         world.pass(OUTAGE);
         world.drainOne();
@@ -88,7 +88,8 @@
     }
 
     private static VirtualDiscovery returned(int watches, WatchTimes times, boolean whole, boolean noticesEnded) {
-        ServiceManners manners = new ServiceManners(true, PER_CALL, PER_LINE, LONGEST_WAIT, MOST_WAITING, noticesEnded);
+        DiscoveryBehaviour manners =
+                new DiscoveryBehaviour(true, PER_CALL, PER_LINE, LONGEST_WAIT, MOST_WAITING, noticesEnded);
         VirtualDiscovery world = new VirtualDiscovery(new DiscoverySetting(watches, 240, 1, manners, times));
         world.pass(SETTLED);
         world.service().down(true);
--- a/lab/src/test/java/stagepier/lab/scale/discovery/VirtualDiscovery.java
+++ b/lab/src/test/java/stagepier/lab/scale/discovery/VirtualDiscovery.java
@@ -100,12 +100,12 @@
         return members.stream().mapToInt(m -> m.calls).average().orElse(0);
     }
 
-    private final class Member implements HollowWatcher.Events, HollowWatcher.Connector {
-        private final HollowWatcher watcher;
+    private final class Member implements SimulatedWatcher.Events, SimulatedWatcher.Connector {
+        private final SimulatedWatcher watcher;
         private int calls;
 
         private Member(DiscoverySetting setting, UniformRandomProvider random) {
-            watcher = new HollowWatcher(
+            watcher = new SimulatedWatcher(
                     VirtualDiscovery.this, this, setting.times(), random::nextInt, this, setting.servers());
         }
 
@@ -117,7 +117,7 @@
         }
 
         @Override
-        public HollowWatcher.Connection open(HollowWatcher self) {
+        public SimulatedWatcher.Connection open(SimulatedWatcher self) {
             Link link = new Link(this);
             at(now + 2 * HOP, () -> {
                 self.up(link);
@@ -129,7 +129,7 @@
         }
     }
 
-    private final class Link implements HollowWatcher.Connection, DiscoveryService.Caller {
+    private final class Link implements SimulatedWatcher.Connection, DiscoveryService.Caller {
         private final Member member;
         private boolean isClosed;
 
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public boolean isThere() {
+        public boolean isConnected() {
             return !isClosed;
         }
 
@@ -189,8 +189,8 @@
         }
 
         @Override
-        public boolean isThere() {
-            return link.isThere();
+        public boolean isConnected() {
+            return link.isConnected();
         }
 
         @Override
--- a/lab/src/test/java/stagepier/lab/standin/RelayTest.java
+++ b/lab/src/test/java/stagepier/lab/standin/RelayTest.java
@@ -38,13 +38,13 @@
     private final EventLoop loop = group.next();
     private final LabClock clock = new LabClock();
     private Nemesis nemesis;
-    private World world;
+    private SharedState world;
 
     @BeforeEach
     void begin() throws Exception {
         nemesis = new Nemesis(new Randoms(3), List.of());
         nemesis.starts(0);
-        world = new World(
+        world = new SharedState(
                 loop, clock, new Recorder(), ScenarioReader.parse("test", "[fleet]\nrouters = 2\n"), new Randoms(3));
     }
 
