--- a/router/src/main/java/stagepier/exchange/ResponseInfo.java
+++ b/router/src/main/java/stagepier/exchange/ResponseInfo.java
@@ -4,33 +4,33 @@
 import stagepier.memcache.Answer;
 
 /**
- * What a cache server's answer says beside its value.
+ * What a cache server's answer contains besides its value.
  *
- * @param lookup how the read went
- * @param report load report in the order of the settings; empty where there is none
+ * @param lookup result of the cache lookup
+ * @param report load report, values in the order of the settings; empty if there is none
  */
 public record ResponseInfo(Api.Lookup lookup, float[] report) {
     private static final float[] NO_REPORT = {};
 
-    /** Of an attempt that had no answer. */
+    /** Stands for an attempt without an answer. */
     public static final ResponseInfo NONE = of(Api.Lookup.UNKNOWN);
 
-    /** Of an answer as its first line says. */
+    /** Returns what the first line of an answer states. */
     public static ResponseInfo of(Answer answer) {
         return new ResponseInfo(lookup(answer.hit()), answer.report());
     }
 
-    /** How a read went, in the module's words. */
+    /** Converts the lookup result of an answer to that of the module's interface. */
     public static Api.Lookup lookup(Answer.Hit hit) {
         return switch (hit) {
-            case UNTOLD -> Api.Lookup.UNKNOWN;
+            case UNKNOWN -> Api.Lookup.UNKNOWN;
             case HIT -> Api.Lookup.HIT;
             case MISS -> Api.Lookup.MISS;
             case MISS_FETCHING -> Api.Lookup.MISS_FETCHING;
         };
     }
 
-    /** Of an answer without a load report. */
+    /** Returns the information of an answer without a load report. */
     public static ResponseInfo of(Api.Lookup lookup) {
         return new ResponseInfo(lookup, NO_REPORT);
     }
--- a/router/src/main/java/stagepier/memcache/Answer.java
+++ b/router/src/main/java/stagepier/memcache/Answer.java
@@ -1,13 +1,13 @@
 package stagepier.memcache;
 
 /**
- * What a cache server answered.
+ * An answer of a cache server.
  *
  * @param id   the request's id in a served answer; empty otherwise
  * @param body the value, or the receipt of a write
- * @param hit  what it said of the lookup
- * @param flow length of a value that is larger than what is collected and comes by and by; 0 for none
- * @param report load report in the order of the settings; empty where there is none
+ * @param hit  result of the cache lookup
+ * @param flow length of a value that is too large to be collected and is streamed instead; 0 if there is none
+ * @param report load report, values in the order of the settings; empty if there is none
  */
 public record Answer(Kind kind, String id, byte[] body, Hit hit, int flow, float[] report) {
     /** Kinds of answers. */
@@ -19,9 +19,9 @@
         ALIVE
     }
 
-    /** What a served read says of the lookup. */
+    /** Result of the cache lookup, as stated in the answer to a read. */
     public enum Hit {
-        UNTOLD,
+        UNKNOWN,
         HIT,
         MISS,
         MISS_FETCHING
--- a/router/src/main/java/stagepier/memcache/AnswerParser.java
+++ b/router/src/main/java/stagepier/memcache/AnswerParser.java
@@ -6,104 +6,107 @@
 import stagepier.overload.MemoryBudget;
 
 /**
- * Takes whole answers off a cache server's bytes; one for each connection. A value that is larger than what a ring
- * usually holds is collected apart as its bytes come; one that is larger than {@link Protocol#LARGEST_VALUE} is not collected at
- * all: its line comes as an answer, and its bytes are then moved on by who asks for them.
+ * Parses the answers in the bytes of one server connection. A value of {@link #MIN_COLLECTED_LENGTH} or more is
+ * collected in a buffer of its own as its bytes arrive. A value larger than {@link Protocol#LARGEST_VALUE} is not
+ * collected but streamed: its first line is returned as an answer, and the caller then moves its bytes on.
  */
 public final class AnswerParser {
-    /** Largest value that is passed on. */
+    /** Largest value that is forwarded, in bytes. */
     public static final int LARGEST_VALUE = 4 << 20;
-    /** Collected from this length on. */
-    private static final int LARGE = 16 * 1024;
-    /** Grown to as bytes come. Guards against a length that is claimed by many and whose bytes never come. */
-    private static final int AT_FIRST = 32 * 1024;
+    /** Values of at least this length in bytes are collected, skipped or streamed. */
+    private static final int MIN_COLLECTED_LENGTH = 16 * 1024;
+    /**
+     * Initial buffer size in bytes of a collected value. The buffer grows as bytes arrive, so that many answers that
+     * announce a large length and never send the bytes do not take that memory.
+     */
+    private static final int INITIAL_CAPACITY = 32 * 1024;
 
-    /** Memory for values that are collected, shared by all connections. */
-    private final MemoryBudget room;
+    /** Memory for collected values, shared by all connections. */
+    private final MemoryBudget budget;
 
     private final LoadReportFormat reports;
-    /** The line of a large value, while that is collected; null otherwise. */
-    private String[] large;
+    /** Words of the first line of a large value while it is collected, skipped or streamed; null otherwise. */
+    private String[] largeValueWords;
 
     private int length;
-    private int got;
+    private int received;
     private byte[] body = Answer.NO_BODY;
-    private boolean kept;
+    private boolean collecting;
     private boolean blocked;
-    /** The bytes are moved on, not collected. */
-    private boolean flowing;
+    /** Set while a value is streamed, not collected. */
+    private boolean streaming;
 
-    /** A parser for which there is always room. */
+    /** Creates a parser with unlimited memory that reads no load reports. */
     public AnswerParser() {
         this(new MemoryBudget(Long.MAX_VALUE));
     }
 
-    /** A parser that reads no load reports. */
-    public AnswerParser(MemoryBudget room) {
-        this(room, new LoadReportFormat(List.of()));
+    /** Creates a parser that reads no load reports. */
+    public AnswerParser(MemoryBudget budget) {
+        this(budget, new LoadReportFormat(List.of()));
     }
 
     /** @param reports reads the load reports of all connections */
-    public AnswerParser(MemoryBudget room, LoadReportFormat reports) {
-        this.room = room;
+    public AnswerParser(MemoryBudget budget, LoadReportFormat reports) {
+        this.budget = budget;
         this.reports = reports;
     }
 
-    /** Whether an answer has begun to be collected. */
+    /** Returns whether a large value is being collected, skipped or streamed. */
     public boolean isInside() {
-        return large != null;
+        return largeValueWords != null;
     }
 
-    /** Whether it waits for room: the connection has to stop reading meanwhile. */
+    /** Returns whether the parser waits for memory; the connection must not be read meanwhile. */
     public boolean isBlocked() {
         return blocked;
     }
 
-    /** Gives up what it has begun to collect. */
+    /** Stops collecting, skipping or streaming the current value and frees its memory. */
     public void drop() {
-        if (large != null && kept) {
-            room.release(length);
+        if (largeValueWords != null && collecting) {
+            budget.release(length);
         }
-        large = null;
-        flowing = false;
+        largeValueWords = null;
+        streaming = false;
         body = Answer.NO_BODY;
     }
 
-    /** Moves on bytes of the value that flows; returns how many. */
-    public int move(RingBuffer in, RingBuffer to, int most) {
-        int n = to.take(in, Math.min(most, length - got));
-        got += n;
+    /** Moves bytes of the streamed value; returns their number. */
+    public int move(RingBuffer in, RingBuffer to, int limit) {
+        int n = to.take(in, Math.min(limit, length - received));
+        received += n;
         return n;
     }
 
-    /** Whether all that is left of the value, and its line end, has come. */
+    /** Returns whether the rest of the value and its line end have arrived. */
     public boolean hasRest(RingBuffer in) {
-        return in.size() >= length - got + 2;
+        return in.size() >= length - received + 2;
     }
 
-    /** Passes over what has come of the value. */
+    /** Skips the bytes of the value that have arrived. */
     public void passOver(RingBuffer in) {
-        int n = Math.min(in.size(), length - got);
+        int n = Math.min(in.size(), length - received);
         in.skip(n);
-        got += n;
+        received += n;
     }
 
     /**
-     * Whether the value that flows has ended, with its line end; then the next answer can be asked for.
+     * Returns whether the streamed value has ended with its line end; if so, the next answer can be requested.
      *
-     * @throws MalformedException where something else follows
+     * @throws MalformedException if something other than a line end follows the value
      */
     public boolean endsFlow(RingBuffer in) throws MalformedException {
-        boolean ends = takesEnd(in);
+        boolean ends = takeLineEnd(in);
         if (ends) {
             drop();
         }
         return ends;
     }
 
-    /** Whether all of the value has been taken; its line end is taken then. */
-    private boolean takesEnd(RingBuffer in) throws MalformedException {
-        if (got < length || in.size() < 2) {
+    /** Returns whether all of the value has been taken; if so, skips its line end. */
+    private boolean takeLineEnd(RingBuffer in) throws MalformedException {
+        if (received < length || in.size() < 2) {
             return false;
         }
         Protocol.checkEnd(in, 0);
@@ -111,22 +114,22 @@
         return true;
     }
 
-    /** The next answer, as in {@link #next(RingBuffer, boolean)}, kept. */
+    /** Returns the next answer with its value, as in {@link #next(RingBuffer, boolean)}. */
     public Answer next(RingBuffer in) throws MalformedException {
         return next(in, true);
     }
 
     /**
-     * The next answer, or null until it has come whole.
+     * Returns the next answer, or null until it has arrived whole.
      *
-     * @param keep whether anybody waits for it: a large value that nobody does is passed over and comes without body
-     * @throws MalformedException where the bytes are no answer that a cache server gives
+     * @param keep whether the value is needed; if not, a large value is skipped and its answer has no body
+     * @throws MalformedException if the bytes are not a known answer of a cache server
      */
     public Answer next(RingBuffer in, boolean keep) throws MalformedException {
-        if (flowing) {
+        if (streaming) {
             return null;
         }
-        if (large != null) {
+        if (largeValueWords != null) {
             return collect(in);
         }
         int line = Protocol.lineLength(in);
@@ -143,7 +146,7 @@
                         Answer.Kind.RECEIPT,
                         flag(words, 1, 'O'),
                         flag(words, 1, 'c').getBytes(StandardCharsets.ISO_8859_1),
-                        Answer.Hit.UNTOLD,
+                        Answer.Hit.UNKNOWN,
                         0,
                         reports.read(words));
             case "MN":
@@ -154,29 +157,30 @@
                 return plain(
                         words.length > 1 && words[1].equals("busy") ? Answer.Kind.BUSY : Answer.Kind.FAILED, words);
             default:
-                throw new MalformedException("no answer");
+                throw new MalformedException("unknown type of answer");
         }
     }
 
     private Answer value(RingBuffer in, int line, String[] words, boolean keep) throws MalformedException {
         int announced = words.length < 2 ? -1 : Protocol.valueLength(words[1]);
         if (announced < 0 || announced > LARGEST_VALUE) {
-            throw new MalformedException("bad value length");
+            throw new MalformedException("invalid value length");
         }
-        if (announced >= LARGE) {
-            boolean flows = announced > Protocol.LARGEST_VALUE && keep;
-            blocked = keep && !flows && !room.take(announced);
-            // One that flows not before its first byte is there. Guards against a claim that nothing follows.
-            if (blocked || flows && in.size() == line) {
+        if (announced >= MIN_COLLECTED_LENGTH) {
+            boolean streams = announced > Protocol.LARGEST_VALUE && keep;
+            blocked = keep && !streams && !budget.take(announced);
+            // Streaming starts only when the first byte has arrived, since an announced length may be followed by
+            // nothing.
+            if (blocked || streams && in.size() == line) {
                 return null;
             }
             in.skip(line);
-            large = words;
+            largeValueWords = words;
             length = announced;
-            got = 0;
-            kept = keep && !flows;
-            flowing = flows;
-            return flows ? value(words, Answer.NO_BODY, announced) : collect(in);
+            received = 0;
+            collecting = keep && !streams;
+            streaming = streams;
+            return streams ? value(words, Answer.NO_BODY, announced) : collect(in);
         }
         if (in.size() < line + announced + 2) {
             return null;
@@ -187,18 +191,19 @@
     }
 
     private Answer collect(RingBuffer in) throws MalformedException {
-        int n = Math.min(in.size(), length - got);
-        if (kept && got + n > body.length) {
-            body = Arrays.copyOf(body, Math.min(length, Math.max(got + n, Math.max(AT_FIRST, 2 * body.length))));
+        int n = Math.min(in.size(), length - received);
+        if (collecting && received + n > body.length) {
+            body = Arrays.copyOf(
+                    body, Math.min(length, Math.max(received + n, Math.max(INITIAL_CAPACITY, 2 * body.length))));
         }
-        if (kept) {
-            in.copyTo(body, got, n);
+        if (collecting) {
+            in.copyTo(body, received, n);
         }
         passOver(in);
-        if (!takesEnd(in)) {
+        if (!takeLineEnd(in)) {
             return null;
         }
-        Answer whole = value(large, body, 0);
+        Answer whole = value(largeValueWords, body, 0);
         drop();
         return whole;
     }
@@ -207,13 +212,13 @@
         Answer.Hit hit = switch (flag(words, 2, 'h')) {
             case "1" -> Answer.Hit.HIT;
             case "0" -> Arrays.asList(words).contains("Z") ? Answer.Hit.MISS_FETCHING : Answer.Hit.MISS;
-            default -> Answer.Hit.UNTOLD;
+            default -> Answer.Hit.UNKNOWN;
         };
         return new Answer(Answer.Kind.VALUE, flag(words, 2, 'O'), value, hit, flow, reports.read(words));
     }
 
     private Answer plain(Answer.Kind kind, String[] words) {
-        return new Answer(kind, "", Answer.NO_BODY, Answer.Hit.UNTOLD, 0, reports.read(words));
+        return new Answer(kind, "", Answer.NO_BODY, Answer.Hit.UNKNOWN, 0, reports.read(words));
     }
 
     private static String flag(String[] words, int from, char letter) {
--- a/router/src/main/java/stagepier/memcache/Command.java
+++ b/router/src/main/java/stagepier/memcache/Command.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a client asked. The words of the line are kept as they came, so that all but the time can be passed on
- * without change.
+ * A command of a client. The words of its line are kept as received, so that everything but the waiting time can be
+ * forwarded unchanged.
  *
- * @param kind  what to do with it; {@link Kind#BAD} and {@link Kind#UNKNOWN} want an answer and nothing else
- * @param words key first, then the flags; of {@link Kind#BAD} what is wrong
- * @param value of a write; empty otherwise
+ * @param kind  kind of the command; {@link Kind#BAD} and {@link Kind#UNKNOWN} only need an error answer
+ * @param words the key, then the flags; for {@link Kind#BAD} the error text
+ * @param value value of a write; empty otherwise
  */
 public record Command(Kind kind, List<String> words, byte[] value) {
-    /** What commands there are. */
+    /** Kinds of commands. */
     public enum Kind {
         GET,
         SET,
@@ -32,12 +32,12 @@
         return words.get(0);
     }
 
-    /** The request's id; empty where there is none. */
+    /** Returns the request id; empty if there is none. */
     public String id() {
         return flag('O');
     }
 
-    /** A named entry of the flag {@code P}, or null. */
+    /** Returns a named entry of the flag {@code P}, or null. */
     public String attribute(String name) {
         for (String entry : flag('P').split(",")) {
             if (entry.startsWith(name) && entry.length() > name.length() && entry.charAt(name.length()) == '=') {
@@ -56,7 +56,7 @@
         return "";
     }
 
-    /** The message for a cache server: unchanged, but for the time that is left to wait. */
+    /** Returns the message for a cache server: unchanged except for the waiting time left, in milliseconds. */
     public byte[] forward(long waitMs) {
         StringBuilder line = new StringBuilder(isWrite() ? "ms " : "mg ").append(key());
         if (isWrite()) {
--- a/router/src/main/java/stagepier/memcache/CommandParser.java
+++ b/router/src/main/java/stagepier/memcache/CommandParser.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Takes whole commands off a client's bytes. */
+/** Parses the commands in the bytes of a client connection. */
 public final class CommandParser {
     private CommandParser() {}
 
     /**
-     * The next command, or null until it has come whole.
+     * Returns the next command, or null until it has arrived whole.
      *
-     * @throws MalformedException where nothing tells where the next command would begin
+     * @throws MalformedException if the start of the next command cannot be determined
      */
     public static Command next(RingBuffer in) throws MalformedException {
         int line = Protocol.lineLength(in);
@@ -67,8 +67,9 @@
     }
 
     /**
-     * Guards against passing on what a cache server cannot read, for which it closes the connection with all that waits
-     * there, and against flags that change which answers come: a quiet command would have none.
+     * Returns why a request is not forwarded, or null. Prevents forwarding of input that a cache server cannot parse,
+     * for which it closes the connection with all requests in flight there, and of flags that change which answers
+     * arrive: a quiet command would get none.
      */
     private static String rejection(Command.Kind kind, List<String> words) {
         boolean id = false;
@@ -109,7 +110,7 @@
         if (!id) {
             return "no request id";
         }
-        // Without it a cache server would answer a read with no value.
+        // Without the flag v, a cache server answers a read without the value.
         return kind == Command.Kind.GET && !value ? "a read without the flag v" : null;
     }
 
--- a/router/src/main/java/stagepier/memcache/MalformedException.java
+++ b/router/src/main/java/stagepier/memcache/MalformedException.java
@@ -1,6 +1,6 @@
 package stagepier.memcache;
 
-/** Input after which a connection cannot be read on: where its next message begins is unknown. */
+/** Thrown for input after which the start of the next message is unknown, so that reading cannot continue. */
 public final class MalformedException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/stagepier/memcache/RingBuffer.java
+++ b/router/src/main/java/stagepier/memcache/RingBuffer.java
@@ -4,18 +4,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The bytes of one direction of one connection. Starts with nothing, doubles up to one largest message and gives back
- * what a large message took once it is empty; it never drops: who finds it full must stop putting, which for a socket
- * means to stop reading.
+ * Buffers the bytes of one direction of one connection. It starts without memory, doubles up to the size of the largest
+ * message, and frees the memory that a large message took once it is empty. It never drops bytes: when it is full, the
+ * caller must stop adding, which for a socket means to stop reading.
  */
 public final class RingBuffer {
-    private static final int AT_FIRST = 512;
-    /** An empty buffer larger than this is given back. Guards against one large message on each of many connections. */
-    private static final int KEPT = 4096;
+    private static final int INITIAL_BYTES = 512;
+    /**
+     * An empty buffer larger than this is freed, so that a large message on each of many connections leaves no memory
+     * in use.
+     */
+    private static final int MAX_RETAINED_BYTES = 4096;
 
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY = {};
 
-    private byte[] bytes = NONE;
+    private byte[] bytes = EMPTY;
     private int head;
     private int size;
 
@@ -23,21 +26,21 @@
         return size;
     }
 
-    /** Bytes of memory that it takes now. */
+    /** Returns the bytes of memory in use. */
     public int capacity() {
         return bytes.length;
     }
 
-    /** Bytes that can still be put, growth included. */
+    /** Returns how many more bytes can be added, including by growing. */
     public int free() {
         return Protocol.LARGEST_MESSAGE - size;
     }
 
     public byte at(int i) {
-        return bytes[place(i)];
+        return bytes[physicalIndex(i)];
     }
 
-    /** Index of the first such byte from {@code from} on, or -1. */
+    /** Returns the index of the first occurrence of a byte at or after {@code from}, or -1. */
     public int indexOf(byte b, int from) {
         for (int i = from; i < size; i++) {
             if (at(i) == b) {
@@ -51,25 +54,25 @@
         put(ByteBuffer.wrap(source));
     }
 
-    /** @throws IllegalStateException where {@link #free} was not heeded */
+    /** @throws IllegalStateException if the source has more bytes than {@link #free} */
     public void put(ByteBuffer source) {
         int n = source.remaining();
         if (n > free()) {
-            throw new IllegalStateException(n + " bytes do not fit " + free() + " free ones");
+            throw new IllegalStateException(n + " bytes exceed the " + free() + " bytes free");
         }
         if (n > bytes.length - size) {
             grow(size + n);
         }
-        int tail = place(size);
+        int tail = physicalIndex(size);
         int first = Math.min(n, bytes.length - tail);
         source.get(bytes, tail, first);
         source.get(bytes, 0, n - first);
         size += n;
     }
 
-    /** Takes the first bytes of another, at most so many, as far as there is room; returns how many. */
-    public int take(RingBuffer from, int most) {
-        int n = Math.min(Math.min(most, from.size), free());
+    /** Moves up to {@code limit} bytes from another buffer, as far as there is room; returns their number. */
+    public int take(RingBuffer from, int limit) {
+        int n = Math.min(Math.min(limit, from.size), free());
         for (int left = n; left > 0; ) {
             ByteBuffer piece = from.front();
             piece.limit(piece.position() + Math.min(left, piece.remaining()));
@@ -81,16 +84,16 @@
         return n;
     }
 
-    /** The first bytes, as far as they lie in one piece; a view that is good until the next put or skip. */
+    /** Returns a view of the first contiguous bytes, valid until the next put or skip. */
     public ByteBuffer front() {
         return ByteBuffer.wrap(bytes, head, Math.min(size, bytes.length - head));
     }
 
     public void skip(int n) {
-        head = place(n);
+        head = physicalIndex(n);
         size -= n;
-        if (size == 0 && bytes.length > KEPT) {
-            bytes = NONE;
+        if (size == 0 && bytes.length > MAX_RETAINED_BYTES) {
+            bytes = EMPTY;
             head = 0;
         }
     }
@@ -101,13 +104,13 @@
         return copy;
     }
 
-    /** Copies the first bytes to a place in an array; they stay here. */
+    /** Copies the first bytes into an array; they remain in this buffer. */
     void copyTo(byte[] to, int at, int n) {
         copy(0, to, at, n);
     }
 
     private void copy(int from, byte[] to, int at, int n) {
-        int start = place(from);
+        int start = physicalIndex(from);
         int first = Math.min(n, bytes.length - start);
         System.arraycopy(bytes, start, to, at, first);
         System.arraycopy(bytes, 0, to, at + first, n - first);
@@ -117,14 +120,14 @@
         return new String(copy(from, n), StandardCharsets.ISO_8859_1);
     }
 
-    private int place(int i) {
+    private int physicalIndex(int i) {
         int at = head + i;
         return at < bytes.length ? at : at - bytes.length;
     }
 
-    private void grow(int need) {
-        int to = Math.max(AT_FIRST, bytes.length);
-        while (to < need) {
+    private void grow(int needed) {
+        int to = Math.max(INITIAL_BYTES, bytes.length);
+        while (to < needed) {
             to = Math.min(to * 2, Protocol.LARGEST_MESSAGE);
         }
         byte[] larger = new byte[to];
--- a/router/src/main/java/stagepier/memcache/package-info.java
+++ b/router/src/main/java/stagepier/memcache/package-info.java
@@ -1,2 +1,2 @@
-/** The meta commands of the memcache text protocol: buffers, parsers and writers. Knows no sockets. */
+/** Meta commands of the memcache text protocol: buffers, parsers and writers, independent of sockets. */
 package stagepier.memcache;
--- a/router/src/test/java/stagepier/memcache/LoadReportFormatTest.java
+++ b/router/src/test/java/stagepier/memcache/LoadReportFormatTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stagepier.overload.MemoryBudget;
 
-/** Load reports at the end of an answer's first line: read where they make sense, and never in the way of the answer. */
+/** Checks load reports at the end of an answer's first line: valid ones are read, and no report affects the answer. */
 class LoadReportFormatTest {
     private static final float[] NONE = {};
 
@@ -24,7 +24,7 @@
         return Wire.parse(parser::next, text.getBytes(StandardCharsets.ISO_8859_1), seed);
     }
 
-    /** Reads an answer that is whole whatever its report is. */
+    /** Parses an answer with a report, checks the rest of the answer and returns the report. */
     private float[] report(String word) throws MalformedException {
         List<Answer> answers = parse("VA 2 Oa h1 " + word + "\r\nhi\r\n", 1);
         assertEquals(1, answers.size());
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void fieldsComeInTheOrderOfTheSettings() throws MalformedException {
+    void fieldsAreReturnedInTheOrderOfTheSettings() throws MalformedException {
         assertArrayEquals(new float[] {7, 2, 0.5f}, report("Linflight=7,queue=2,x1=0.5"));
         assertArrayEquals(new float[] {7, 2, 0.5f}, report("Lx1=0.5,queue=2,inflight=7"));
         assertEquals(2, format.received());
@@ -69,14 +69,14 @@
                 "Linflight=7;queue=2;x1=0.5",
                 "L{\"inflight\":7}"
             })
-    void aReportThatMakesNoSenseIsCountedAndLeavesTheAnswerWhole(String word) throws MalformedException {
+    void malformedReportIsCountedAndTheAnswerRemainsValid(String word) throws MalformedException {
         assertArrayEquals(NONE, report(word));
         assertEquals(1, format.malformed());
         assertEquals(0, format.received());
     }
 
     @Test
-    void anAnswerWithoutAReportIsNoMalformedOne() throws MalformedException {
+    void answerWithoutReportIsNotCountedAsMalformed() throws MalformedException {
         assertArrayEquals(NONE, parse("VA 2 Oa h1\r\nhi\r\n", 1).get(0).report());
         assertArrayEquals(NONE, parse("VA 2 Oa\r\nhi\r\n", 1).get(0).report());
         assertArrayEquals(NONE, parse("MN\r\n", 1).get(0).report());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anyAnswerMayHoldOne() throws MalformedException {
+    void anyKindOfAnswerMayContainAReport() throws MalformedException {
         String report = " Linflight=7,queue=2,x1=0";
         for (String line : List.of("HD Oa cLOT", "SERVER_ERROR busy", "SERVER_ERROR failed", "MN")) {
             Answer answer = parse(line + report + "\r\n", 1).get(0);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aValueThatLooksLikeAReportIsAValue() throws MalformedException {
+    void valueThatLooksLikeAReportIsNotParsedAsReport() throws MalformedException {
         String value = "Linflight=9,queue=9,x1=9";
         Answer answer =
                 parse("VA " + value.length() + " Oa h0\r\n" + value + "\r\n", 1).get(0);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void whereServersReportNothingTheWordIsNotLookedAt() throws MalformedException {
+    void reportIsIgnoredIfTheSettingsNameNoFields() throws MalformedException {
         LoadReportFormat none = new LoadReportFormat(List.of());
         AnswerParser parser = new AnswerParser(new MemoryBudget(1 << 20), none);
         byte[] text = "VA 2 Oa Lspoilt=\r\nhi\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -112,9 +112,9 @@
         assertEquals(0, none.malformed());
     }
 
-    /** Guards against a report that is read before the last byte of its line is there. */
+    /** Prevents parsing of a report before the last byte of its line has arrived. */
     @Property(seed = "17", tries = 300)
-    void aLineThatIsCutAnywhereIsReadWhole(@ForAll long seed) throws MalformedException {
+    void lineCutAnywhereIsParsedWhole(@ForAll long seed) throws MalformedException {
         String first = "VA 2 Oa h1 Linflight=17,queue=12,x1=10\r\nhi\r\n";
         String second = "SERVER_ERROR busy Linflight=1,queue=2,x1=3\r\n";
         List<Answer> answers = parse(first + second, seed);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void aLineLongerThanAnyIsMalformedAsBefore() {
+    void overlongLineWithReportIsMalformed() {
         String endless = "VA 2 Oa h1 L" + "x".repeat(Protocol.LARGEST_LINE);
         assertThrows(MalformedException.class, () -> parse(endless, 1));
     }
--- a/router/src/test/java/stagepier/memcache/ParserTest.java
+++ b/router/src/test/java/stagepier/memcache/ParserTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import stagepier.overload.MemoryBudget;
 
-/** Random cuts of valid messages and random garbage, from fixed seeds. */
+/** Parses valid messages cut at random, and random garbage, from fixed seeds. */
 class ParserTest {
     private static final String READ = "mg 7f3a9c21e0b4d655 v O9b1f03aa5c7e2d41 Pc=read,t=acme,d=480";
     private static final String WRITE =
@@ -37,7 +37,7 @@
     }
 
     @Property(seed = "11", tries = 200)
-    void commandsSurviveAnyCuts(@ForAll long seed, @ForAll @IntRange(max = Protocol.LARGEST_VALUE) int length)
+    void commandsAreParsedFromAnyPieces(@ForAll long seed, @ForAll @IntRange(max = Protocol.LARGEST_VALUE) int length)
             throws MalformedException {
         byte[] write = Protocol.withValue(WRITE.formatted(length), value(length));
         byte[] all = join(Protocol.line(READ), write, Protocol.line("mn"), Protocol.line("mg k v"), Protocol.line("x"));
@@ -45,15 +45,15 @@
         assertEquals(
                 List.of(Command.Kind.GET, Command.Kind.SET, Command.Kind.ALIVE, Command.Kind.BAD, Command.Kind.UNKNOWN),
                 commands.stream().map(Command::kind).toList());
-        // Passed on without change but for the time.
+        // Forwarded unchanged except for the waiting time.
         assertArrayEquals(
                 Protocol.line(READ.replace("480", "77")), commands.get(0).forward(77));
         assertArrayEquals(write, commands.get(1).forward(480));
         assertEquals("put", commands.get(1).attribute("c"));
     }
 
-    /** As a link does it: a value that flows is moved on as it comes, here into one answer. */
-    private static Wire.Parser<Answer> flowing() {
+    /** Returns a parser that moves a streamed value on as it arrives, as a link does, and collects it in one answer. */
+    private static Wire.Parser<Answer> streamingParser() {
         AnswerParser parser = new AnswerParser();
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         return new Wire.Parser<>() {
@@ -83,7 +83,7 @@
     }
 
     @Property(seed = "12", tries = 200)
-    void answersSurviveAnyCuts(@ForAll long seed, @ForAll @IntRange(max = 400_000) int length)
+    void answersAreParsedFromAnyPieces(@ForAll long seed, @ForAll @IntRange(max = 400_000) int length)
             throws MalformedException {
         byte[] all = join(
                 Protocol.withValue("VA " + length + " Oab h0 Z", value(length)),
@@ -91,7 +91,7 @@
                 Protocol.line("SERVER_ERROR busy 12"),
                 Protocol.line("SERVER_ERROR failed"),
                 Protocol.line("MN"));
-        List<Answer> answers = Wire.parse(flowing(), all, seed);
+        List<Answer> answers = Wire.parse(streamingParser(), all, seed);
         assertEquals(
                 List.of(
                         Answer.Kind.VALUE,
@@ -105,41 +105,44 @@
         assertEquals("ff", new String(answers.get(1).body(), StandardCharsets.ISO_8859_1));
     }
 
-    /** Guards against the heap: what is collected is counted, given back once, and not taken where nobody waits. */
+    /**
+     * Prevents an exhausted heap: collected values are counted, released exactly once, and not counted if the value is
+     * not needed.
+     */
     @Property(seed = "17", tries = 100)
-    void largeValuesTakeSharedRoomAndGiveItBack(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int kind)
+    void largeValuesTakeSharedMemoryAndReleaseIt(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int kind)
             throws MalformedException {
-        MemoryBudget room = new MemoryBudget(75_000);
+        MemoryBudget budget = new MemoryBudget(75_000);
         byte[] large = Protocol.withValue("VA 60000 Oab h1", value(60_000));
-        AnswerParser first = new AnswerParser(room);
+        AnswerParser first = new AnswerParser(budget);
         RingBuffer half = new RingBuffer();
         half.put(java.nio.ByteBuffer.wrap(large, 0, 20_000));
         assertEquals(null, first.next(half));
-        assertEquals(60_000, room.taken());
-        AnswerParser second = new AnswerParser(room);
+        assertEquals(60_000, budget.taken());
+        AnswerParser second = new AnswerParser(budget);
         if (kind == 1) {
             assertEquals(null, second.next(Wire.ring(Protocol.line("VA 60000 Oab h1"))));
             assertTrue(second.isBlocked());
             first.drop();
-            assertEquals(0, room.taken());
+            assertEquals(0, budget.taken());
         } else if (kind == 2) {
             Answer passed =
                     Wire.parse(in -> second.next(in, false), large, seed).get(0);
             assertEquals(0, passed.body().length);
-            assertEquals(60_000, room.taken());
+            assertEquals(60_000, budget.taken());
         } else {
-            // One alone always gets what it asks for.
+            // A single value is always granted its memory.
             first.drop();
             AnswerParser small = new AnswerParser(new MemoryBudget(1000));
             assertArrayEquals(
                     value(60_000), Wire.parse(small::next, large, seed).get(0).body());
-            assertEquals(0, room.taken());
+            assertEquals(0, budget.taken());
         }
     }
 
-    /** A malformed message ends a connection; anything else that is thrown would end the program. */
+    /** A {@link MalformedException} closes the connection; any other exception would end the process. */
     @Property(seed = "13", tries = 2000)
-    void garbageIsRefusedAndNeverACrash(
+    void garbageIsRejectedWithoutUnexpectedExceptions(
             @ForAll long seed, @ForAll @Size(max = 300) byte[] garbage, @ForAll @IntRange(max = 6) int start) {
         String[] starts = {"", "mg ", "ms k 5 ", "ms k ", "VA 3 ", "HD ", "SERVER_ERROR "};
         byte[] bytes = join(starts[start].getBytes(StandardCharsets.ISO_8859_1), garbage, Protocol.line(""));
@@ -158,9 +161,9 @@
                 () -> Wire.parse(new AnswerParser()::next, join(Protocol.line("?"), bytes), seed));
     }
 
-    /** Guards against what a cache server closes on, and against flags that change which answers come. */
+    /** Such input makes a cache server close the connection, or has flags that change which answers arrive. */
     @Property(seed = "15", tries = 1)
-    void whatACacheServerCouldNotUseIsNotPassedOn() throws MalformedException {
+    void inputThatACacheServerCannotParseIsNotForwarded() throws MalformedException {
         for (String line : List.of(
                 "mg k\u0007 v Oa Pc=c",
                 "mg k v Oa Pc=\u0000",
@@ -185,9 +188,9 @@
         }
     }
 
-    /** Guards against memory that a large message leaves behind on each of many links. */
+    /** Otherwise a large message on each of many links would leave its memory in use. */
     @Property(seed = "16", tries = 1)
-    void anEmptyRingGivesBackWhatALargeMessageTook() {
+    void emptyRingBufferFreesTheMemoryOfALargeMessage() {
         RingBuffer ring = new RingBuffer();
         assertEquals(0, ring.capacity());
         ring.put(new byte[Protocol.LARGEST_VALUE]);
@@ -196,7 +199,7 @@
     }
 
     @Property(seed = "14", tries = 1)
-    void whatIsTooLargeIsRefused() {
+    void oversizedMessagesAreRejected() {
         assertThrows(
                 MalformedException.class, () -> Wire.parse(CommandParser::next, new byte[Protocol.LARGEST_LINE], 1));
         assertThrows(
--- a/router/src/test/java/stagepier/memcache/Wire.java
+++ b/router/src/test/java/stagepier/memcache/Wire.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Feeds bytes to a parser in pieces, through a ring as a link does; the one helper of the parser tests. */
+/** Helper of the parser tests: feeds bytes to a parser in pieces, through a ring buffer as a link does. */
 final class Wire {
     /** A parser under test. */
     interface Parser<T> {
@@ -20,24 +20,24 @@
         return ring;
     }
 
-    /** What the parser makes of the bytes, cut at random; it never sees more than a ring holds. */
+    /** Returns the messages parsed from the bytes, which are cut at random into pieces that fit the ring buffer. */
     static <T> List<T> parse(Parser<T> parser, byte[] bytes, long seed) throws MalformedException {
         Random random = new Random(seed);
         RingBuffer ring = new RingBuffer();
-        List<T> all = new ArrayList<>();
+        List<T> messages = new ArrayList<>();
         int at = 0;
         while (at < bytes.length) {
-            int most = Math.min(ring.free(), bytes.length - at);
-            int n = random.nextBoolean() ? Math.min(most, 1 + random.nextInt(7)) : 1 + random.nextInt(most);
+            int limit = Math.min(ring.free(), bytes.length - at);
+            int n = random.nextBoolean() ? Math.min(limit, 1 + random.nextInt(7)) : 1 + random.nextInt(limit);
             ring.put(ByteBuffer.wrap(bytes, at, n));
             at += n;
-            for (T one = parser.next(ring); one != null; one = parser.next(ring)) {
-                all.add(one);
+            for (T message = parser.next(ring); message != null; message = parser.next(ring)) {
+                messages.add(message);
             }
             if (ring.free() == 0) {
-                throw new IllegalStateException("a full ring without a message would stop the link for ever");
+                throw new IllegalStateException("a full ring buffer without a whole message would block the link");
             }
         }
-        return all;
+        return messages;
     }
 }
