--- a/router/src/main/java/stagepier/exchange/AttemptHistory.java
+++ b/router/src/main/java/stagepier/exchange/AttemptHistory.java
@@ -4,44 +4,44 @@
 import java.util.List;
 import stagepier.Api;
 
-/** When the attempts of one request began, which are out, and which may have run. */
+/** Records for each attempt of one request when it started, whether it is in flight, and whether it may have run. */
 final class AttemptHistory {
     private static final class Attempt {
-        private final double beganAt;
-        private boolean isOut = true;
-        /** Until an outcome proves that it never ran. */
+        private final double startedAt;
+        private boolean inFlight = true;
+        /** Stays true until an outcome proves that the attempt never ran. */
         private boolean mayHaveRun = true;
 
-        Attempt(double beganAt) {
-            this.beganAt = beganAt;
+        Attempt(double startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
     private final List<Attempt> attempts = new ArrayList<>(2);
 
-    void began(double now) {
+    void started(double now) {
         attempts.add(new Attempt(now));
     }
 
     void ended(int number, Api.Outcome outcome) {
         Attempt attempt = attempts.get(number);
-        attempt.isOut = false;
+        attempt.inFlight = false;
         attempt.mayHaveRun = !outcome.neverRan();
     }
 
-    boolean anyOut() {
-        return attempts.stream().anyMatch(attempt -> attempt.isOut);
+    boolean anyInFlight() {
+        return attempts.stream().anyMatch(attempt -> attempt.inFlight);
     }
 
     boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> attempt.mayHaveRun);
     }
 
-    /** When the first one began that may have run, in seconds; infinite where none may. */
-    double firstThatMayHaveRun() {
+    /** Returns the start of the earliest attempt that may have run, in seconds; infinity if there is none. */
+    double earliestStartThatMayHaveRun() {
         return attempts.stream()
                 .filter(attempt -> attempt.mayHaveRun)
-                .mapToDouble(attempt -> attempt.beganAt)
+                .mapToDouble(attempt -> attempt.startedAt)
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
--- a/router/src/main/java/stagepier/exchange/EventQueue.java
+++ b/router/src/main/java/stagepier/exchange/EventQueue.java
@@ -10,8 +10,9 @@
 import stagepier.tasks.GuardedTask;
 
 /**
- * The module's events in the order in which they arose, one at a time: what an action brings about at once is queued, for
- * the module must not be called from inside its own event. While the list of servers may be old, only lists pass.
+ * Runs the module's events one at a time, in the order in which they arise. An event that arises while another one runs
+ * is queued, because the module must not be called from inside its own event. While the server list may be stale, only
+ * events that update the list run.
  */
 final class EventQueue {
     private static final Logger LOG = LoggerFactory.getLogger(EventQueue.class);
@@ -19,68 +20,70 @@
     private final Clock clock;
     private final LoopDelay delay;
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-    /** Lists that came while all else has to wait. */
-    private final ArrayDeque<Runnable> lists = new ArrayDeque<>();
+    /** List updates that arrived while all other events wait. */
+    private final ArrayDeque<Runnable> listEvents = new ArrayDeque<>();
 
-    private final List<Runnable> onFreshList = new ArrayList<>();
-    /** Brings the list up to date, then runs what it is given. */
+    private final List<Runnable> waitingForList = new ArrayList<>();
+    /** Refreshes the server list, then runs the given callback. */
     private Consumer<Runnable> refresh = Runnable::run;
 
     private boolean running;
-    /** The process stood still and the list may be old: the module is told nothing but the list. */
-    private boolean listMayBeOld;
+    /**
+     * Set after this process stalled, until the server list is refreshed; only list updates are delivered meanwhile.
+     */
+    private boolean listMayBeStale;
 
-    private long standstills;
+    private long stalls;
 
     EventQueue(Clock clock, LoopDelay delay) {
         this.clock = clock;
         this.delay = delay;
     }
 
-    /** What brings the list up to date after this process stood still, and then runs what it is given. */
+    /** Sets the function that refreshes the server list after this process stalled and then runs the given callback. */
     void connectList(Consumer<Runnable> refresher) {
         refresh = refresher;
     }
 
-    /** Runs an event now or, inside another one or while the list may be old, later. */
+    /** Runs an event now, or later if another event is running or the server list may be stale. */
     void post(Runnable event) {
         events.add(event);
-        if (!running && !listMayBeOld()) {
+        if (!running && !listMayBeStale()) {
             drain();
         }
     }
 
-    /** Runs an event that brings a list: ahead of all that waits for it. */
+    /** Runs an event that updates the server list, ahead of the events that wait for a fresh list. */
     void postList(Runnable event) {
-        (listMayBeOld() ? lists : events).add(event);
+        (listMayBeStale() ? listEvents : events).add(event);
         if (!running) {
             drain();
         }
     }
 
-    /** Whether an event is running now. */
+    /** Returns whether an event is running now. */
     boolean isRunning() {
         return running;
     }
 
-    /** How often the process stood still for so long that the list had to be asked for. */
-    long standstills() {
-        return standstills;
+    /** Returns how often the process stalled for so long that the server list had to be refreshed. */
+    long stalls() {
+        return stalls;
     }
 
-    /** Whether nothing may be sent before the list is fresh; that is then run as soon as it is. */
+    /** Returns whether nothing may be sent before the server list is refreshed; if so, runs {@code then} after that. */
     boolean mustWaitForList(Runnable then) {
-        if (listMayBeOld()) {
-            onFreshList.add(then);
+        if (listMayBeStale()) {
+            waitingForList.add(then);
         }
-        return listMayBeOld;
+        return listMayBeStale;
     }
 
     private void drain() {
         running = true;
         try {
-            while (!lists.isEmpty() || !listMayBeOld && !events.isEmpty()) {
-                run((lists.isEmpty() ? events : lists).remove());
+            while (!listEvents.isEmpty() || !listMayBeStale && !events.isEmpty()) {
+                run((listEvents.isEmpty() ? events : listEvents).remove());
             }
         } finally {
             running = false;
@@ -88,23 +91,23 @@
     }
 
     /**
-     * Whether the list may be old since this process stood still. Guards against deciding, when it goes on, by who was
-     * there before: what discovery told meanwhile is read first.
+     * Returns whether the server list may be stale because this process stalled. Prevents decisions after a stall from
+     * using the list of before it: the changes that discovery reported meanwhile are read first.
      */
-    private boolean listMayBeOld() {
-        if (!listMayBeOld && delay.hasStalled(clock.now())) {
-            listMayBeOld = true;
-            standstills++;
-            refresh.accept(this::listIsFresh);
+    private boolean listMayBeStale() {
+        if (!listMayBeStale && delay.hasStalled(clock.now())) {
+            listMayBeStale = true;
+            stalls++;
+            refresh.accept(this::onListRefreshed);
         }
-        return listMayBeOld;
+        return listMayBeStale;
     }
 
-    private void listIsFresh() {
-        listMayBeOld = false;
-        List<Runnable> due = List.copyOf(onFreshList);
-        onFreshList.clear();
-        due.forEach(one -> new GuardedTask("work that waited for the list", one).run());
+    private void onListRefreshed() {
+        listMayBeStale = false;
+        List<Runnable> due = List.copyOf(waitingForList);
+        waitingForList.clear();
+        due.forEach(task -> new GuardedTask("task that waited for a fresh server list", task).run());
         if (!running) {
             drain();
         }
@@ -114,8 +117,9 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            // The router must outlive a fault: a request left without an answer has its backstop.
-            LOG.error("an event failed", e);
+            // A fault in one event must not stop the router; a request left without an answer is answered by its
+            // overdue timer.
+            LOG.error("an event of the decision module failed; continuing with the next event", e);
         }
     }
 }
--- a/router/src/main/java/stagepier/exchange/Exchange.java
+++ b/router/src/main/java/stagepier/exchange/Exchange.java
@@ -6,8 +6,8 @@
 import stagepier.memcache.Command;
 
 /**
- * One request from its last byte to its one final answer, and on to the outcome of its last execution. The only
- * thing that client side and server side share. Owned by {@link ModuleHost}.
+ * One request, from the arrival of its last byte until it has its one final answer and its last execution has ended. It
+ * is the only state that the client side and the server side share. Owned by {@link ModuleHost}.
  */
 public final class Exchange {
     private final long id;
@@ -15,11 +15,11 @@
     private final ReplyListener listener;
     private final double takenAt;
     private final double deadlineAt;
-    private final List<ServerTransport.Transmission> sendings = new ArrayList<>(2);
+    private final List<ServerTransport.Transmission> transmissions = new ArrayList<>(2);
     private final AttemptHistory attempts = new AttemptHistory();
     private int outstanding;
     private boolean finished;
-    private Future<?> backstop;
+    private Future<?> overdueTimer;
 
     Exchange(long id, Command command, ReplyListener listener, double takenAt, double deadlineAt) {
         this.id = id;
@@ -29,7 +29,7 @@
         this.deadlineAt = deadlineAt;
     }
 
-    /** What is to be passed on. */
+    /** Returns the command to forward. */
     public Command command() {
         return command;
     }
@@ -42,31 +42,31 @@
         return listener;
     }
 
-    /** When it was taken, in seconds of the {@link Clock}. */
+    /** Returns when the request was accepted, in seconds of the {@link Clock}. */
     public double takenAt() {
         return takenAt;
     }
 
-    /** By when its answer is due. */
+    /** Returns when the answer is due, in seconds of the {@link Clock}. */
     public double deadlineAt() {
         return deadlineAt;
     }
 
-    /** An execution of it, counted from 0; null where there is no such. */
+    /** Returns an execution of the request, counted from 0; null if it does not exist. */
     public ServerTransport.Transmission sending(int attempt) {
-        return attempt < sendings.size() ? sendings.get(attempt) : null;
+        return attempt < transmissions.size() ? transmissions.get(attempt) : null;
     }
 
-    List<ServerTransport.Transmission> sendings() {
-        return sendings;
+    List<ServerTransport.Transmission> transmissions() {
+        return transmissions;
     }
 
     AttemptHistory attempts() {
         return attempts;
     }
 
-    /** Counts executions begun and ended; returns how many are out. */
-    int outstanding(int change) {
+    /** Adds to the number of executions in flight and returns the new number. */
+    int addOutstanding(int change) {
         outstanding += change;
         return outstanding;
     }
@@ -76,20 +76,21 @@
     }
 
     /**
-     * Whether an attempt for it may begin now: an answer is owed, and its client is there. Guards against attempts for clients
-     * that have gone, also where the end of their connection lies here unread.
+     * Returns whether an attempt may start now: the final answer is pending and the client is connected. Prevents
+     * attempts for clients that have disconnected, including those whose end of connection has arrived but has not been
+     * read yet.
      */
     public boolean isWanted() {
         return !finished && listener.isConnected();
     }
 
-    void backstop(Future<?> timer) {
-        backstop = timer;
+    void setOverdueTimer(Future<?> timer) {
+        overdueTimer = timer;
     }
 
-    /** From here on no answer is owed: its timer is given back. */
+    /** Marks the final answer as no longer pending and cancels the overdue timer. */
     void finish() {
         finished = true;
-        backstop.cancel(false);
+        overdueTimer.cancel(false);
     }
 }
--- a/router/src/main/java/stagepier/exchange/ModuleHost.java
+++ b/router/src/main/java/stagepier/exchange/ModuleHost.java
@@ -21,39 +21,41 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * Hosts the decision module: gives ids, time and timers, keeps the exchanges, and turns what happens on sockets
- * into the module's events. Decides nothing. Runs on the one event loop.
+ * Hosts the decision module: provides ids, time and timers, keeps the exchanges, and translates what happens on sockets
+ * into the module's events. Makes no routing decisions. Runs on the one event loop.
  */
 public final class ModuleHost implements Api.Host {
     private static final Logger LOG = LoggerFactory.getLogger(ModuleHost.class);
     private static final float[] NO_REPORT = {};
     /**
-     * The client counts its time from before the request came here, and the answer has to travel back: without
-     * this margin an answer at the very end would come after the client left.
+     * Seconds kept back from a request's time budget. The client's timer starts before the request arrives here, and
+     * the answer still has to travel back; without this margin, an answer at the last moment would arrive after the
+     * client left.
      */
-    private static final double MARGIN = 0.015;
+    private static final double TRANSIT_MARGIN_S = 0.015;
 
-    private static final double MARGIN_PART = 0.1;
-    /** Part of a window for repeats that is kept for the way to a cache server, which takes the margin at the least. */
-    private static final double WAY_PART = 0.05;
-    /** After this the module has broken its promise of an answer, and the host answers in its place. */
-    private static final double OVERDUE = 0.01;
-    /** Until then it looks once more, as executions do whose timers came late. */
-    private static final int LOOKS_AGAIN_MS = 3;
+    /** Upper limit of this margin as a share of the time that the client waits. */
+    private static final double TRANSIT_MARGIN_SHARE = 0.1;
+    /** Share of a deduplication window reserved for the transfer to a cache server, which is at least the margin. */
+    private static final double REPEAT_TRANSIT_SHARE = 0.05;
+    /** Seconds after the deadline at which the module has failed to answer and the host answers in its place. */
+    private static final double OVERDUE_AFTER_S = 0.01;
+    /** Delay of the host answer after that, since executions with late timers first check for their answers again. */
+    private static final int OVERDUE_RECHECK_MS = 3;
 
-    /** A request that lay unread for so long is counted as come late; in seconds. */
-    private static final double LATE = 0.05;
-    /** No answer took less than this, whatever is taken off for own delay; in seconds. */
-    private static final double SHORTEST = 1e-4;
+    /** A request that stayed unread for longer than this is counted as read late; in seconds. */
+    private static final double LATE_READ_S = 0.05;
+    /** Lower limit of the time of an answer after the router's own delay is subtracted; in seconds. */
+    private static final double MIN_ELAPSED_S = 1e-4;
 
-    private static final Pattern TIME = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
+    private static final Pattern WAIT_MS_FORMAT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
 
     private final EventLoop loop;
     private final Clock clock;
     private final LoopDelay delay;
     private final SettingsParser.Names names;
     private final Api.Settings settings;
-    private final Map<Long, Exchange> open = new HashMap<>();
+    private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final EventQueue events;
     private final RequestCounters counters = new RequestCounters();
     private final RequestLog log = new RequestLog();
@@ -62,9 +64,9 @@
     private final RepeatGuard repeats;
     private Api.Events module;
     private ServerTransport transport;
-    /** Null where nothing is tried beside the real requests. */
-    private ShadowTap tap;
-    /** Null where routers tell each other nothing. */
+    /** Null if the real requests are not observed. */
+    private ShadowTap shadowTap;
+    /** Null if routers do not exchange reports. */
     private PeerReports peers;
 
     private Consumer<byte[]> toPeers;
@@ -84,73 +86,76 @@
                 .orElseThrow());
     }
 
-    /** Whether nothing may be sent before the list is fresh; that is then run as soon as it is. */
+    /** Returns whether nothing may be sent before the server list is refreshed; if so, runs {@code then} after that. */
     public boolean mustWaitForList(Runnable then) {
         return events.mustWaitForList(then);
     }
 
-    /** What other routers report, and where messages to them go; until then nothing and nowhere. */
+    /**
+     * Connects the reports of other routers and the output of messages to them; without this call there are neither.
+     */
     public void connectPeers(PeerReports reports, Consumer<byte[]> to) {
         peers = reports;
         toPeers = to;
     }
 
-    /** What brings the list up to date after this process stood still, and then runs what it is given. */
+    /** Sets the function that refreshes the server list after this process stalled and then runs the given callback. */
     public void connectList(Consumer<Runnable> refresher) {
         events.connectList(refresher);
     }
 
-    /** Who is told of sends and outcomes, and changes nothing. */
+    /** Sets the observer of sends and outcomes; it does not influence them. */
     public void connectShadow(ShadowTap to) {
-        tap = to;
+        shadowTap = to;
     }
 
-    /** Before anything else. */
+    /** Connects the decision module and the server transport; must be called before any other method. */
     public void connect(Api.Events decisions, ServerTransport servers) {
         module = decisions;
         transport = servers;
     }
 
-    /** What holds in every run, and how often it was violated. */
+    /** Returns the monitor that checks the invariants and counts their violations. */
     public InvariantMonitor invariants() {
         return invariants;
     }
 
-    // ---- from the client side -----------------------------------------------------------------------------
-    /** Why a command cannot become an exchange, or null where it can. */
+    // ---- client side ---------------------------------------------------------------------------------------
+    /** Returns why a command cannot become an exchange, or null if it can. */
     public String rejection(Command command) {
         if (!names.classes().contains(String.valueOf(command.attribute("c")))) {
             return "unknown class";
         }
         String time = command.attribute("d");
-        if (time != null && !TIME.matcher(time).matches()) {
+        if (time != null && !WAIT_MS_FORMAT.matcher(time).matches()) {
             return "bad time";
         }
         return ids.isTaken(command.id(), clock.now()) ? "request id in use" : null;
     }
 
     /**
-     * Takes a request. From here on one final answer is owed.
+     * Accepts a request. It gets exactly one final answer unless its client disconnects.
      *
-     * @param cameAt when its last byte was there to be read, as far as is known: its time has been running since then
+     * @param arrivedAt when its last byte could have been read, as far as is known; its time budget runs from then
      */
-    public Exchange take(ReplyListener listener, Command command, double cameAt) {
+    public Exchange take(ReplyListener listener, Command command, double arrivedAt) {
         int classIndex = classIndex(command);
         String time = command.attribute("d");
-        double most = settings.classes().get(classIndex).deadline();
-        double wait = time == null ? most : Math.min(most, Double.parseDouble(time) / 1e3);
+        double longestWait = settings.classes().get(classIndex).deadline();
+        double wait = time == null ? longestWait : Math.min(longestWait, Double.parseDouble(time) / 1e3);
         double now = clock.now();
-        double unread = Math.max(0, now - cameAt);
-        if (unread > LATE) {
+        double unread = Math.max(0, now - arrivedAt);
+        if (unread > LATE_READ_S) {
             counters.readLate();
         }
-        double budget = wait - unread - Math.min(MARGIN, MARGIN_PART * wait);
+        double budget = wait - unread - Math.min(TRANSIT_MARGIN_S, TRANSIT_MARGIN_SHARE * wait);
         Exchange x = new Exchange(++lastId, command, listener, now, now + budget);
-        open.put(x.id(), x);
+        exchanges.put(x.id(), x);
         ids.take(command.id(), now);
         counters.taken();
         log.taken(x, unread);
-        x.backstop(loop.schedule(() -> pastItsTime(x), micros(budget + OVERDUE), TimeUnit.MICROSECONDS));
+        x.setOverdueTimer(
+                loop.schedule(() -> scheduleOverdueCheck(x), micros(budget + OVERDUE_AFTER_S), TimeUnit.MICROSECONDS));
         Api.Request request = new Api.Request(
                 x.id(),
                 classIndex,
@@ -164,15 +169,16 @@
         return x;
     }
 
-    /** Guards against a request without a tenant: an immutable list throws where it is asked for null. */
+    /** Returns the tenant's index, -1 for no tenant: {@code indexOf} of an immutable list throws when given null. */
     private int tenant(Command command) {
         String tenant = command.attribute("t");
         return tenant == null ? -1 : names.tenants().indexOf(tenant);
     }
 
     /**
-     * The client has closed its connection. From this moment on no attempt for it begins, whatever the module has still to be
-     * told: what waits for a connection is withdrawn, and what the module sends before it is told counts as not sent.
+     * Called when the client has closed its connection. From now on no attempt for the request starts, even before the
+     * module receives the event: attempts that wait for a connection are withdrawn, and sends of the module until then
+     * end as not sent.
      */
     public void clientGone(Exchange x) {
         if (x.isFinished()) {
@@ -183,25 +189,28 @@
         finish(x);
         events.post(() -> {
             module.onClientGone(clock.now(), x.id());
-            forgetIfOver(x);
+            removeIfDone(x);
         });
-        // After that word: what is withdrawn tells nothing of its server.
-        x.sendings().forEach(ServerTransport.Transmission::withdraw);
+        // After the event above, so that the outcome of a withdrawn attempt is not counted for or against its server.
+        x.transmissions().forEach(ServerTransport.Transmission::withdraw);
     }
 
     /**
-     * Guards against answering in the module's place where it was this router that woke late: executions whose time is up in the
-     * same turn first look once more for their answers, and the module is told only then.
+     * Delays the overdue answer once more. Prevents an answer of the host in place of the module when this router
+     * itself ran late: executions that time out in the same loop turn first check for their answers again, and the
+     * module learns the outcome after.
      */
-    private void pastItsTime(Exchange x) {
-        x.backstop(loop.schedule(() -> overdue(x), LOOKS_AGAIN_MS, TimeUnit.MILLISECONDS));
+    private void scheduleOverdueCheck(Exchange x) {
+        x.setOverdueTimer(loop.schedule(() -> answerOverdue(x), OVERDUE_RECHECK_MS, TimeUnit.MILLISECONDS));
     }
 
-    private void overdue(Exchange x) {
+    private void answerOverdue(Exchange x) {
         events.post(() -> {
             if (!x.isFinished()) {
                 counters.overdue();
-                LOG.warn("request {} had no answer in time", x.command().id());
+                LOG.warn(
+                        "request {} had no answer in time from the decision module; answering with a failure",
+                        x.command().id());
                 answer(x, Reply.FAILED);
                 module.onClientGone(clock.now(), x.id());
             }
@@ -212,16 +221,16 @@
         if (!invariants.check(
                 Invariant.ANSWERED_ONCE,
                 !x.isFinished(),
-                () -> "answered again: id=" + x.command().id())) {
+                () -> "second final answer: id=" + x.command().id())) {
             return;
         }
         counters.answered(reply.kind());
         log.answered(x, reply.kind(), clock.now());
-        if (tap != null) {
-            tap.answered(x, reply, clock.now());
+        if (shadowTap != null) {
+            shadowTap.answered(x, reply, clock.now());
         }
         finish(x);
-        forgetIfOver(x);
+        removeIfDone(x);
         x.listener().answered(x, reply);
     }
 
@@ -230,25 +239,25 @@
         counters.finished();
     }
 
-    private void forgetIfOver(Exchange x) {
-        if (x.isFinished() && x.outstanding(0) == 0) {
-            open.remove(x.id());
+    private void removeIfDone(Exchange x) {
+        if (x.isFinished() && x.addOutstanding(0) == 0) {
+            exchanges.remove(x.id());
         }
     }
 
-    /** Requests that still need their final answer. */
+    /** Returns the number of requests whose final answer is pending. */
     public long unanswered() {
         return counters.unanswered();
     }
 
-    // ---- from the server side -----------------------------------------------------------------------------
-    /** The one outcome of an execution. {@code body} is that of a served answer. */
+    // ---- server side ---------------------------------------------------------------------------------------
+    /** Called with the one outcome of an execution; {@code body} is that of a served answer, otherwise null. */
     public void ended(
             Exchange x, int attempt, long server, Api.Outcome outcome, double sentAt, ResponseInfo info, byte[] body) {
         end(x, attempt, server, outcome, sentAt, info, body == null ? null : Reply.served(body));
     }
 
-    /** The one outcome of an execution whose value has begun to come: well ended, whatever becomes of the rest. */
+    /** Called when the value of an execution starts to arrive: the outcome is OK, whether or not the rest arrives. */
     public void begun(Exchange x, int attempt, long server, double sentAt, ResponseInfo info, ValueFlow flow) {
         end(x, attempt, server, Api.Outcome.OK, sentAt, info, Reply.served(flow));
     }
@@ -259,22 +268,22 @@
         events.post(() -> {
             double now = clock.now();
             double elapsed = now - sentAt;
-            if (tap != null) {
-                tap.ended(x, attempt, server, outcome, info.lookup(), served, elapsed, now);
+            if (shadowTap != null) {
+                shadowTap.ended(x, attempt, server, outcome, info.lookup(), served, elapsed, now);
             }
             if (outcome != Api.Outcome.TIMEOUT && outcome != Api.Outcome.CANCELLED) {
-                // What lay here unread is this router's own delay: no server may be judged by it.
-                elapsed = Math.max(Math.min(elapsed, SHORTEST), elapsed - delay.unreadFor(now));
+                // The time that an answer stayed unread is this router's own delay and must not count against a server.
+                elapsed = Math.max(Math.min(elapsed, MIN_ELAPSED_S), elapsed - delay.unreadFor(now));
             }
             counters.ended(outcome);
             log.ended(x, attempt, server, outcome, elapsed);
-            x.outstanding(-1);
+            x.addOutstanding(-1);
             if (outcome == Api.Outcome.OK && !x.isFinished()) {
                 answer(x, served);
             } else if (served != null && served.flow() != null) {
                 served.flow().abandon();
             }
-            forgetIfOver(x);
+            removeIfDone(x);
             module.onOutcome(
                     now,
                     x.id(),
@@ -289,15 +298,16 @@
     }
 
     /**
-     * A write goes on to the origin, and the simulator says so of each that was answered. On sockets a receipt says
-     * nothing of the lookup. Guards against a write's wait for the origin being held against its cache server, whose
-     * keys are then turned away.
+     * Returns the lookup result to report to the module. A write goes on to the origin; the simulator reports each
+     * answered write as a miss, whereas a receipt on a socket carries no lookup result. Without this translation, the
+     * time that a write waits for the origin would count against its cache server, and requests for its keys would be
+     * refused.
      */
     private Api.Lookup lookup(boolean write, Api.Outcome outcome, Api.Lookup received) {
-        boolean carriedOn = write
+        boolean reachedOrigin = write
                 && settings.fetching() == Api.Fetching.THROUGH
                 && (outcome == Api.Outcome.OK || outcome == Api.Outcome.ERROR);
-        return carriedOn && received == Api.Lookup.UNKNOWN ? Api.Lookup.MISS : received;
+        return reachedOrigin && received == Api.Lookup.UNKNOWN ? Api.Lookup.MISS : received;
     }
 
     public void probed(long server, Api.Outcome outcome, double sentAt) {
@@ -307,7 +317,7 @@
         });
     }
 
-    // ---- from discovery -----------------------------------------------------------------------------------
+    // ---- discovery ----------------------------------------------------------------------------------------
     public void members(boolean complete, List<Api.Member> members) {
         events.postList(() -> module.onMembers(clock.now(), complete, members));
     }
@@ -316,18 +326,18 @@
         events.post(() -> module.onMembersFailed(clock.now()));
     }
 
-    // ---- from what is tried beside the real requests ------------------------------------------------------
-    /** Another ring has part of the keys from now on; null for none. */
+    // ---- promotion of a candidate map ---------------------------------------------------------------------
+    /** Reports to the module that another ring owns part of the keys from now on; null if no other ring does. */
     public void promoted(Api.PromotedRing map) {
         events.post(() -> module.onPromoted(clock.now(), map));
     }
 
-    /** Whether the module spares a server what is not needed. Not asked inside an event: it is spared then. */
+    /** Returns whether the module keeps optional load off a server; true without asking it while an event runs. */
     public boolean avoidsOptionalLoad(double now, long server) {
         return events.isRunning() || module.avoidsOptionalLoad(now, server);
     }
 
-    // ---- the module's actions -----------------------------------------------------------------------------
+    // ---- actions of the module -----------------------------------------------------------------------------
     @Override
     public void send(long request, long server, double timeout) {
         send(request, server, timeout, Double.POSITIVE_INFINITY);
@@ -335,65 +345,67 @@
 
     @Override
     public void send(long request, long server, double timeout, double startWithin) {
-        Exchange x = open.get(request);
+        Exchange x = exchanges.get(request);
         if (x == null) {
-            LOG.error("a send for a request that is over: {}", request);
+            LOG.error("ignored send for request {}: the request has ended", request);
             return;
         }
-        int attempt = x.sendings().size();
+        int attempt = x.transmissions().size();
         double now = clock.now();
         double left = x.deadlineAt() - now;
-        double latestStart = now + startWithin - wayToServer(x);
+        double latestStart = now + startWithin - transitReserve(x);
         String rejection = rejection(x, attempt, left, latestStart, now);
-        x.outstanding(1);
-        x.attempts().began(now);
+        x.addOutstanding(1);
+        x.attempts().started(now);
         if (rejection != null) {
             log.notSent(x, attempt, server, rejection);
-            x.sendings().add(() -> {});
+            x.transmissions().add(() -> {});
             ended(x, attempt, server, Api.Outcome.NOT_SENT, now, ResponseInfo.NONE, null);
         } else if (timeout < 0) {
-            x.sendings().add(() -> {});
+            x.transmissions().add(() -> {});
             ended(x, attempt, server, Api.Outcome.TIMEOUT, now, ResponseInfo.NONE, null);
         } else {
             log.sent(x, attempt, server, now);
-            x.sendings()
+            x.transmissions()
                     .add(transport.send(
                             x, attempt, server, timeout == 0 ? left : Math.min(timeout, left), latestStart));
-            if (tap != null) {
-                tap.sent(x, attempt, server, now);
+            if (shadowTap != null) {
+                shadowTap.sent(x, attempt, server, now);
             }
         }
     }
 
-    /** Why an attempt may not begin; null where it may. */
+    /** Returns why an attempt may not start; null if it may. */
     private String rejection(Exchange x, int attempt, double left, double latestStart, double now) {
         if (x.isFinished()) {
-            return "finished";
+            return "request finished";
         }
         if (left <= 0) {
-            return "time is up";
+            return "deadline passed";
         }
         if (latestStart < now || attempt >= settings.limits().maxAttempts()) {
-            return "out of bounds";
+            return "latest start passed or attempt limit reached";
         }
         boolean allowed = invariants.check(
                 Invariant.REPEATED_ONLY_AS_CLASS_ALLOWS,
                 repeats.allows(x, classIndex(x.command()), now),
                 () -> "id=" + x.command().id() + " attempt=" + attempt);
-        return allowed ? null : "its class allows no repeat";
+        return allowed ? null : "class allows no repeat";
     }
 
     /**
-     * What is kept back of a window for repeats: a repeat has to arrive within it. How long the way to a cache server is, is
-     * not known here, for a handshake and an answer hold the server's own work; it grows with what a site takes for long.
+     * Returns the seconds reserved at the end of a deduplication window, since a repeat has to reach the server within
+     * it. The transfer time to a cache server cannot be measured here, because handshakes and answers include the
+     * server's own work; the reserve therefore grows with the window, which reflects the time scale of the site.
      */
-    private double wayToServer(Exchange x) {
+    private double transitReserve(Exchange x) {
         return Math.max(
-                MARGIN,
-                WAY_PART * settings.classes().get(classIndex(x.command())).dedupWindow());
+                TRANSIT_MARGIN_S,
+                REPEAT_TRANSIT_SHARE
+                        * settings.classes().get(classIndex(x.command())).dedupWindow());
     }
 
-    /** Whether it does no harm if a request runs more often than the module knows. */
+    /** Returns whether a request may run more often than the module knows. */
     public boolean mayRunTwice(Exchange x) {
         return settings.classes().get(classIndex(x.command())).repeat() == Api.Repeat.SAFE;
     }
@@ -404,9 +416,9 @@
 
     @Override
     public void cancel(long request, int attempt) {
-        Exchange x = open.get(request);
-        if (x != null && attempt < x.sendings().size()) {
-            x.sendings().get(attempt).cancel();
+        Exchange x = exchanges.get(request);
+        if (x != null && attempt < x.transmissions().size()) {
+            x.transmissions().get(attempt).cancel();
         }
     }
 
@@ -421,7 +433,7 @@
     }
 
     private void finalAnswer(long request, Reply reply) {
-        Exchange x = open.get(request);
+        Exchange x = exchanges.get(request);
         if (x != null && !x.isFinished()) {
             answer(x, reply);
         }
@@ -452,7 +464,7 @@
         if (message != null) {
             toPeers.accept(message);
         }
-        // The one thing that happens regularly: where nothing comes from others any more, old sums end here.
+        // Reports are the only regular activity, so the totals of routers that no longer send reports expire here.
         events.post(() -> {
             double now = clock.now();
             Collection<Long> changed = peers.forget(now);
@@ -472,7 +484,7 @@
         return peers == null ? 1 : peers.weight();
     }
 
-    /** Another router has reported something. */
+    /** Called with the report of another router. */
     public void reported(int peer, PeerReport report) {
         events.post(() -> {
             double now = clock.now();
@@ -480,7 +492,7 @@
         });
     }
 
-    /** The watch of discovery runs from the start and renews itself. */
+    /** Does nothing: the watch of discovery runs from the start and renews itself. */
     @Override
     public void watchMembers() {}
 
@@ -493,14 +505,14 @@
         return Math.max(0, (long) (seconds * 1e6));
     }
 
-    /** What was taken, answered and how executions ended. */
+    /** Passes the counters of requests, answers, executions and the event loop to a consumer. */
     public void count(ObjLongConsumer<String> to) {
         if (peers != null) {
             peers.count(to);
         }
         counters.count(to);
         invariants.count(to);
-        to.accept("loop_stood_still", events.standstills());
+        to.accept("loop_stood_still", events.stalls());
         to.accept("loop_turns", delay.turns());
         to.accept("loop_late_mean_us", Math.round(delay.mean() * 1e6));
         to.accept("loop_late_worst_us", Math.round(delay.worst() * 1e6));
--- a/router/src/main/java/stagepier/exchange/RepeatGuard.java
+++ b/router/src/main/java/stagepier/exchange/RepeatGuard.java
@@ -3,8 +3,9 @@
 import stagepier.Api;
 
 /**
- * Whether a further attempt of a request may begin, by its class and by what became of the attempts before: reckoned by the host, apart
- * from the module that decides. A pure function of the settings and the exchange.
+ * Checks whether another attempt of a request may start, given the request's class and the outcomes of its earlier
+ * attempts. The host checks this independently of the decision module. A pure function of the settings and the
+ * exchange.
  */
 final class RepeatGuard {
     private final Api.Settings settings;
@@ -14,19 +15,19 @@
     }
 
     /**
-     * Whether an attempt may begin now.
+     * Returns whether an attempt may start now.
      *
      * @param requestClass the index of the request's class
      */
     boolean allows(Exchange exchange, int requestClass, double now) {
         Api.RequestClass rules = settings.classes().get(requestClass);
         AttemptHistory attempts = exchange.attempts();
-        if (attempts.anyOut() && !settings.limits().concurrentAttempts()) {
+        if (attempts.anyInFlight() && !settings.limits().concurrentAttempts()) {
             return false;
         }
         return switch (rules.repeat()) {
             case SAFE -> true;
-            case KEYED -> !attempts.mayHaveRun() || now < attempts.firstThatMayHaveRun() + rules.dedupWindow();
+            case KEYED -> !attempts.mayHaveRun() || now < attempts.earliestStartThatMayHaveRun() + rules.dedupWindow();
             case UNSAFE -> !attempts.mayHaveRun();
         };
     }
--- a/router/src/main/java/stagepier/exchange/Reply.java
+++ b/router/src/main/java/stagepier/exchange/Reply.java
@@ -1,11 +1,11 @@
 package stagepier.exchange;
 
 /**
- * The final answer of an exchange, in no protocol's words.
+ * The final answer of an exchange, independent of the protocol.
  *
- * @param body         the value or receipt that a cache server made for this request
- * @param flow         a large value in place of the body, which comes by and by; null for none
- * @param retryAfterMs advice that goes with a throttle; 0 for none
+ * @param body         the value or write receipt from the cache server
+ * @param flow         a large value that is streamed in place of the body; null if there is none
+ * @param retryAfterMs retry advice that goes with a throttle, in milliseconds; 0 for none
  */
 public record Reply(Kind kind, byte[] body, ValueFlow flow, long retryAfterMs) {
     /** Kinds of final answers. */
--- a/router/src/main/java/stagepier/exchange/ReplyListener.java
+++ b/router/src/main/java/stagepier/exchange/ReplyListener.java
@@ -1,13 +1,13 @@
 package stagepier.exchange;
 
-/** The client's side of an exchange, as the exchange sees it. */
+/** Callback of an exchange to its client connection. */
 public interface ReplyListener {
-    /** The one final answer. Not called once {@link ModuleHost#clientGone} was. */
+    /** Called with the one final answer, but not after {@link ModuleHost#clientGone} was called. */
     void answered(Exchange exchange, Reply reply);
 
     /**
-     * Whether the client is there by all that has come by this moment. Where it is not, {@link ModuleHost#clientGone} has been
-     * called when this returns.
+     * Returns whether the client is connected, judged by all input that has arrived by now. If it is not,
+     * {@link ModuleHost#clientGone} has been called when this method returns.
      */
     default boolean isConnected() {
         return true;
--- a/router/src/main/java/stagepier/exchange/RequestCounters.java
+++ b/router/src/main/java/stagepier/exchange/RequestCounters.java
@@ -4,7 +4,7 @@
 import java.util.function.ObjLongConsumer;
 import stagepier.Api;
 
-/** Counts what became of requests and executions. */
+/** Counts requests and executions by outcome. */
 final class RequestCounters {
     private final long[] outcomes = new long[Api.Outcome.values().length];
     private final long[] replies = new long[Reply.Kind.values().length];
@@ -19,12 +19,12 @@
         unanswered++;
     }
 
-    /** A request lay unread for so long that it counts as late. */
+    /** Counts a request whose input stayed unread for so long that it counts as late. */
     void readLate() {
         readLate++;
     }
 
-    /** A request needs no final answer any more. */
+    /** Counts down the unanswered requests by one that no longer needs its final answer. */
     void finished() {
         unanswered--;
     }
@@ -33,7 +33,7 @@
         clientGone++;
     }
 
-    /** The host answered in the module's place. */
+    /** Counts a request that the host answered in place of the module. */
     void overdue() {
         overdue++;
     }
@@ -46,7 +46,7 @@
         outcomes[outcome.ordinal()]++;
     }
 
-    /** Requests that still need their final answer. */
+    /** Returns the number of requests whose final answer is pending. */
     long unanswered() {
         return unanswered;
     }
--- a/router/src/main/java/stagepier/exchange/RequestIds.java
+++ b/router/src/main/java/stagepier/exchange/RequestIds.java
@@ -5,24 +5,25 @@
 import java.util.Map;
 
 /**
- * Ids of requests that are in use. Guards against a client that sends the id of another's request: what a cache server made
- * for the one would be served to the other. An id stays taken for a while after its request, too, for the two may cross.
+ * The request ids that are in use. Prevents a client that sends the id of another client's request from being served
+ * the answer that a cache server gave to that request. An id stays in use for some time after its request, because a
+ * new request with the same id may cross with the old one.
  */
 final class RequestIds {
-    /** Seconds for which an id stays taken after its request must be over. */
-    private static final double KEPT = 2;
+    /** Seconds for which an id stays in use after the longest deadline of a request has passed. */
+    private static final double RETENTION_S = 2;
 
-    private final double keptFor;
-    /** When each id was taken, the oldest first; in seconds. */
+    private final double retention;
+    /** The time at which each id was taken, in seconds; oldest first. */
     private final Map<String, Double> takenAt = new LinkedHashMap<>();
 
-    /** @param longestDeadline of any class, in seconds */
+    /** @param longestDeadline the longest deadline of all classes, in seconds */
     RequestIds(double longestDeadline) {
-        keptFor = longestDeadline + KEPT;
+        retention = longestDeadline + RETENTION_S;
     }
 
     boolean isTaken(String id, double now) {
-        forget(now);
+        evictExpired(now);
         return takenAt.containsKey(id);
     }
 
@@ -30,9 +31,9 @@
         takenAt.put(id, now);
     }
 
-    private void forget(double now) {
+    private void evictExpired(double now) {
         Iterator<Double> oldest = takenAt.values().iterator();
-        while (oldest.hasNext() && now - oldest.next() > keptFor) {
+        while (oldest.hasNext() && now - oldest.next() > retention) {
             oldest.remove();
         }
     }
--- a/router/src/main/java/stagepier/exchange/RequestLog.java
+++ b/router/src/main/java/stagepier/exchange/RequestLog.java
@@ -5,27 +5,27 @@
 import stagepier.Api;
 
 /**
- * What became of each request, by its id: when it was taken, each attempt with its server and outcome, and how it ended. One line an event
- * at debug level, under a name of its own, so that it can be turned on alone.
+ * Logs the life of each request by its id: when it was accepted, each attempt with its server and outcome, and how the
+ * request ended. Writes one line per event at debug level, to a logger of its own that can be enabled separately.
  */
 final class RequestLog {
     private static final Logger LOG = LoggerFactory.getLogger("stagepier.requests");
     private static final double MILLIS = 1e3;
 
-    /** @param unread seconds for which it may have lain unread */
+    /** @param unread seconds for which the request may have stayed unread */
     void taken(Exchange x, double unread) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("id={} taken unread_ms={} {}", x.command().id(), millis(unread), left(x, x.takenAt()));
+            LOG.debug("id={} taken unread_ms={} {}", x.command().id(), millis(unread), timeLeft(x, x.takenAt()));
         }
     }
 
     void sent(Exchange x, int attempt, long server, double now) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("id={} attempt={} sent server={} {}", x.command().id(), attempt, server, left(x, now));
+            LOG.debug("id={} attempt={} sent server={} {}", x.command().id(), attempt, server, timeLeft(x, now));
         }
     }
 
-    /** An attempt that the module wanted and this process did not begin. */
+    /** Logs an attempt that the module requested and the host did not start. */
     void notSent(Exchange x, int attempt, long server, String why) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
@@ -47,7 +47,7 @@
 
     void answered(Exchange x, Reply.Kind kind, double now) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("id={} answered {} {}", x.command().id(), kind, left(x, now));
+            LOG.debug("id={} answered {} {}", x.command().id(), kind, timeLeft(x, now));
         }
     }
 
@@ -56,12 +56,12 @@
             LOG.debug(
                     "id={} client gone attempts={} {}",
                     x.command().id(),
-                    x.sendings().size(),
-                    left(x, now));
+                    x.transmissions().size(),
+                    timeLeft(x, now));
         }
     }
 
-    private static String left(Exchange x, double now) {
+    private static String timeLeft(Exchange x, double now) {
         return "left_ms=" + millis(x.deadlineAt() - now);
     }
 
--- a/router/src/main/java/stagepier/exchange/ServerTransport.java
+++ b/router/src/main/java/stagepier/exchange/ServerTransport.java
@@ -1,22 +1,23 @@
 package stagepier.exchange;
 
-/** The servers' side, as exchanges see it. Each send ends in exactly one {@link ModuleHost#ended}. */
+/** Sends requests to cache servers. Each send leads to exactly one call of {@link ModuleHost#ended}. */
 public interface ServerTransport {
-    /** An execution that can be given up. */
+    /** An execution that can be cancelled. */
     interface Transmission {
         void cancel();
 
         /**
-         * Nobody waits for it any more: it is not sent, or not to its end, if that can still be, and goes on where all of it was.
+         * Called when its answer is no longer needed. If the execution has not been sent whole, the rest is not sent
+         * where that is still possible; an execution that has been sent whole goes on.
          */
         default void withdraw() {}
 
-        /** It has been handed to its socket. */
+        /** Returns whether it has been written to its socket. */
         default boolean isOut() {
             return true;
         }
 
-        /** When it was handed to its socket nothing else was awaited there. */
+        /** Returns whether no other answer was pending on its socket when it was written. */
         default boolean isAlone() {
             return true;
         }
@@ -25,14 +26,15 @@
     Transmission send(Exchange exchange, int attempt, long server, double timeout);
 
     /**
-     * The same where no byte of it may be sent after a moment, in seconds of the {@link Clock}: it then ends as never sent.
-     * Where nothing waits before it is sent, there is nothing to look at.
+     * Sends with a limit on the start: if no byte has been sent by {@code latestStart}, in seconds of the {@link
+     * Clock}, the execution ends as not sent. A transport in which nothing waits before it is sent can ignore the
+     * limit.
      */
     default Transmission send(Exchange exchange, int attempt, long server, double timeout, double latestStart) {
         return send(exchange, attempt, server, timeout);
     }
 
-    /** Ends in exactly one {@link ModuleHost#probed}. */
+    /** Probes a server; leads to exactly one call of {@link ModuleHost#probed}. */
     void probe(long server);
 
     void closeIdle(long server);
--- a/router/src/main/java/stagepier/exchange/ShadowTap.java
+++ b/router/src/main/java/stagepier/exchange/ShadowTap.java
@@ -3,18 +3,20 @@
 import stagepier.Api;
 
 /**
- * Is told of the real requests, so that something can be tried beside them. Changes nothing of them and never throws:
- * {@link ModuleHost} calls it in the middle of its own work, on the event loop.
+ * Observes the real requests, so that a candidate map can be tried on copies of them. An implementation does not change
+ * the requests and never throws: {@link ModuleHost} calls it in the middle of its own work, on the event loop.
  */
 public interface ShadowTap {
-    /** An execution was given to its server's links; whether it has gone out, {@link Exchange#sending} tells. */
+    /**
+     * Called when an execution was passed to its server's links; {@link Exchange#sending} tells whether it was written.
+     */
     void sent(Exchange x, int attempt, long server, double now);
 
     /**
-     * The one outcome of that execution.
+     * Called with the one outcome of an execution.
      *
-     * @param served  the answer; null where there is none
-     * @param elapsed seconds since it was sent, with what this router was late by
+     * @param served  the answer; null if there is none
+     * @param elapsed seconds since it was sent, including the delay of this router
      */
     void ended(
             Exchange x,
@@ -26,6 +28,6 @@
             double elapsed,
             double now);
 
-    /** The final answer of the request is given. */
+    /** Called when the final answer of the request is given. */
     void answered(Exchange x, Reply reply, double now);
 }
--- a/router/src/main/java/stagepier/exchange/ValueFlow.java
+++ b/router/src/main/java/stagepier/exchange/ValueFlow.java
@@ -3,33 +3,33 @@
 import stagepier.memcache.RingBuffer;
 
 /**
- * A large value on its way from a cache server's link to a client's. Neither holds it whole: the client's side takes bytes off
- * the server's side as it has room, and what it does not take stays there, so that reading stops. Ends once: whole, broken or
- * abandoned.
+ * Streams a large value from a server link to a client link without buffering it whole. The client side takes bytes
+ * from the server side as it has room; bytes that are not taken stay in the server link, which then stops reading. The
+ * flow ends once: complete, failed or abandoned.
  */
 public final class ValueFlow {
-    /** The server's side. */
+    /** The server side of the flow. */
     public interface Source {
-        /** Moves what has come, as far as there is room for it; returns how many bytes. */
+        /** Moves the bytes that have arrived, as far as there is room for them; returns their number. */
         int moveTo(RingBuffer to);
 
-        /** Nobody takes the rest. */
+        /** Called when the client side takes no more bytes. */
         void abandoned();
     }
 
     private enum State {
         OPEN,
-        WHOLE,
-        BROKEN,
+        COMPLETE,
+        FAILED,
         ABANDONED
     }
 
     private final int length;
     private final Source source;
-    private Runnable changed = () -> {};
+    private Runnable listener = () -> {};
     private State state = State.OPEN;
 
-    /** @param length of the value in bytes */
+    /** @param length length of the value in bytes */
     public ValueFlow(int length, Source source) {
         this.length = length;
         this.source = source;
@@ -39,28 +39,28 @@
         return length;
     }
 
-    // ---- the client's side --------------------------------------------------------------------------------
-    /** Calls back when there is more to take, or it has ended. */
+    // ---- client side --------------------------------------------------------------------------------------
+    /** Sets the callback that runs when more bytes are available or the flow has ended. */
     public void onChange(Runnable call) {
-        changed = call;
+        listener = call;
     }
 
-    /** Takes what there is; returns how many bytes. */
+    /** Takes the bytes that are available; returns their number. */
     public int moveTo(RingBuffer to) {
         return state == State.OPEN ? source.moveTo(to) : 0;
     }
 
-    /** All of it has come and was good to its end. */
+    /** Returns whether the value has arrived whole and well-formed. */
     public boolean isComplete() {
-        return state == State.WHOLE;
+        return state == State.COMPLETE;
     }
 
-    /** It will never be whole. */
+    /** Returns whether the value will never arrive whole. */
     public boolean isFailed() {
-        return state == State.BROKEN;
+        return state == State.FAILED;
     }
 
-    /** The client is gone. */
+    /** Ends the flow because the client has disconnected. */
     public void abandon() {
         if (state == State.OPEN) {
             state = State.ABANDONED;
@@ -68,33 +68,33 @@
         }
     }
 
-    // ---- the server's side --------------------------------------------------------------------------------
-    /** Nobody takes the rest. */
+    // ---- server side --------------------------------------------------------------------------------------
+    /** Returns whether the client side takes no more bytes. */
     public boolean isAbandoned() {
         return state == State.ABANDONED;
     }
 
-    /** More has come. */
+    /** Called when more bytes have arrived. */
     public void onData() {
         if (state == State.OPEN) {
-            changed.run();
+            listener.run();
         }
     }
 
-    /** It was good to its end, and all of it was moved. */
+    /** Called when the value ended well-formed and all of it was moved. */
     public void onComplete() {
-        end(State.WHOLE);
+        end(State.COMPLETE);
     }
 
-    /** The cache server has not given all of it, and will not. */
+    /** Called when the cache server will not send the rest of the value. */
     public void onFailure() {
-        end(State.BROKEN);
+        end(State.FAILED);
     }
 
     private void end(State how) {
         if (state == State.OPEN) {
             state = how;
-            changed.run();
+            listener.run();
         }
     }
 }
--- a/router/src/test/java/stagepier/exchange/ManualClock.java
+++ b/router/src/test/java/stagepier/exchange/ManualClock.java
@@ -1,6 +1,6 @@
 package stagepier.exchange;
 
-/** A clock that stands until a test moves it on, so that no verdict depends on how long the machine takes. */
+/** A clock that only advances when a test moves it, so that no result depends on the speed of the machine. */
 public final class ManualClock extends Clock {
     private volatile double now = 1e9;
 
@@ -9,7 +9,7 @@
         return now;
     }
 
-    /** Moves it on by so many seconds. */
+    /** Advances the clock by the given number of seconds. */
     public void pass(double seconds) {
         now += seconds;
     }
--- a/router/src/test/java/stagepier/exchange/ModuleHostTest.java
+++ b/router/src/test/java/stagepier/exchange/ModuleHostTest.java
@@ -21,7 +21,7 @@
 import stagepier.overload.LoopDelay;
 import stagepier.settings.SettingsParser;
 
-/** The translation between sockets and module, with a module that only writes down its events. */
+/** Checks the translation between sockets and the module, with a module that records its events. */
 class ModuleHostTest {
     private static final String SETTINGS = """
             {"Classes":[{"Name":"c","Deadline":2,"Repeat":"idempotent"}],"FamilyInfo":{"Mode":"through"},
@@ -34,7 +34,7 @@
     private final List<String> events = new ArrayList<>();
     private final List<Reply> replies = new ArrayList<>();
 
-    /** Sends each request twice and writes down what comes of it. */
+    /** Sends each request twice and records the outcomes. */
     private class Module extends NoOpEvents {
         private boolean inside;
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A server side on which every send ends at once. */
+    /** Passes a command to a host whose transport ends every send at once with the given outcome. */
     private void take(String line, Api.Outcome outcome) throws MalformedException {
         AtomicInteger cancels = new AtomicInteger();
         host.connect(new Module(), new NoOpTransport() {
@@ -91,18 +91,18 @@
         loop.shutdownGracefully();
     }
 
-    /** Guards against writes that make their server look slow: the simulator tells them as misses. */
+    /** Without the lookup result MISS, as the simulator reports for writes, a write would make its server look slow. */
     @Test
-    void anAnsweredWriteCountsAsAMiss() throws Exception {
+    void answeredWriteIsReportedAsMiss() throws Exception {
         take("ms k 1 Oa Pc=c,d=900\r\nx\r\n", Api.Outcome.OK);
         take("mg k v Ob Pc=c,d=900\r\n", Api.Outcome.OK);
         assertEquals("0 OK UNKNOWN true", events.get(2));
         assertEquals("0 OK MISS true", events.get(0));
     }
 
-    /** Guards against deciding by an old list, and against changes that overtake each other. */
+    /** Prevents decisions on a stale server list, and list changes that are applied out of order. */
     @Test
-    void afterAStandStillTheModuleIsToldTheListsInOrderAndOnlyThenWhatElseHappened() throws Exception {
+    void afterAStallTheModuleReceivesListUpdatesInOrderBeforeOtherEvents() throws Exception {
         List<Runnable> waiting = new ArrayList<>();
         host.connectList(waiting::add);
         delay.onPoll(clock.now() - 0.6);
@@ -116,21 +116,24 @@
         assertEquals(
                 List.of("list true", "list false", "sent", "0 OK UNKNOWN true", "1 NOT_SENT UNKNOWN true"), events);
         take("mg k v Ob Pc=c,d=900\r\n", Api.Outcome.OK);
-        assertEquals(1, waiting.size(), "it does not stand still any more");
+        assertEquals(1, waiting.size(), "the process has not stalled again");
     }
 
     @Test
-    void whatArisesInsideAnEventIsToldAfterItAndAnsweredOnce() throws Exception {
+    void eventArisingInsideAnEventIsDeliveredAfterItAndAnsweredOnce() throws Exception {
         take("mg k v Oa Pc=c,d=900\r\n", Api.Outcome.OK);
         assertEquals(List.of("0 OK UNKNOWN true", "1 NOT_SENT UNKNOWN true"), events);
         assertEquals(1, replies.size());
         assertEquals(Reply.Kind.SERVED, replies.get(0).kind());
     }
 
-    /** Fails without a second look of the host: it answered in the module's place 3 ms before the module was told. */
+    /**
+     * Fails if the host does not delay its overdue answer once more: it then answers in place of the module 3 ms before
+     * the module learns the outcome.
+     */
     @Test
     @Timeout(10)
-    void aLoopThatWakesLateLeavesTheLastAnswerToTheModule() throws Exception {
+    void lateEventLoopLeavesTheFinalAnswerToTheModule() throws Exception {
         AtomicLong overdue = new AtomicLong(-1);
         CountDownLatch answered = new CountDownLatch(1);
         loop.submit(() -> {
@@ -155,7 +158,7 @@
                                     host.refuse(request, 0);
                                 }
                             },
-                            new Silent());
+                            new SilentTransport());
                     RingBuffer ring = new RingBuffer();
                     ring.put("mg k v Oa Pc=c,d=50\r\n".getBytes(StandardCharsets.ISO_8859_1));
                     host.take(
@@ -167,7 +170,7 @@
                             },
                             CommandParser.next(ring),
                             Double.POSITIVE_INFINITY);
-                    // The loop stands still until all its timers are due.
+                    // The loop is blocked until all its timers are due.
                     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(100);
                     while (System.nanoTime() < until) {
                         Thread.onSpinWait();
@@ -181,8 +184,10 @@
                 List.of(Reply.Kind.THROTTLE), replies.stream().map(Reply::kind).toList());
     }
 
-    /** A server side on which nothing answers, and an execution that woke late looks once more before its time is up. */
-    private final class Silent extends NoOpTransport {
+    /**
+     * A transport without answers, whose executions check once more before they time out, as they do on a late loop.
+     */
+    private final class SilentTransport extends NoOpTransport {
         @Override
         public Transmission send(Exchange x, int attempt, long server, double timeout) {
             loop.schedule(
--- a/router/src/test/java/stagepier/exchange/NoOpEvents.java
+++ b/router/src/test/java/stagepier/exchange/NoOpEvents.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import stagepier.Api;
 
-/** A decision module that decides nothing; tests override what they are about. */
+/** A decision module that does nothing; tests override the events that they need. */
 public abstract class NoOpEvents implements Api.Events {
     @Override
     public void onMembers(double now, boolean complete, List<Api.Member> members) {}
--- a/router/src/test/java/stagepier/exchange/NoOpTransport.java
+++ b/router/src/test/java/stagepier/exchange/NoOpTransport.java
@@ -1,15 +1,15 @@
 package stagepier.exchange;
 
-/** A server side that sends nothing; tests override what they are about. */
+/** A server transport that sends nothing; tests override the methods that they need. */
 public abstract class NoOpTransport implements ServerTransport {
     @Override
     public Transmission send(Exchange exchange, int attempt, long server, double timeout) {
-        throw new AssertionError("a request was sent");
+        throw new AssertionError("unexpected send of a request");
     }
 
     @Override
     public void probe(long server) {
-        throw new AssertionError("a server was probed");
+        throw new AssertionError("unexpected probe of a server");
     }
 
     @Override
--- a/router/src/test/java/stagepier/exchange/RepeatGuardTest.java
+++ b/router/src/test/java/stagepier/exchange/RepeatGuardTest.java
@@ -7,7 +7,7 @@
 import stagepier.Api;
 import stagepier.settings.SettingsParser;
 
-/** What the host lets through of a module that would repeat anything at any time. */
+/** Checks which attempts the host allows when the module repeats any request at any time. */
 class RepeatGuardTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
@@ -24,43 +24,43 @@
 
     private final RepeatGuard guard = guard(true);
 
-    private static Exchange begun(double at) {
+    private static Exchange exchangeStartedAt(double at) {
         Exchange exchange = new Exchange(1, null, null, at, at + 2);
-        exchange.attempts().began(at);
+        exchange.attempts().started(at);
         return exchange;
     }
 
     @Test
-    void aFirstAttemptOfAnyClassMayBegin() {
+    void firstAttemptOfAnyClassIsAllowed() {
         Exchange fresh = new Exchange(1, null, null, 0, 2);
         assertTrue(guard.allows(fresh, SAFE, 9) && guard.allows(fresh, KEYED, 9) && guard.allows(fresh, UNSAFE, 9));
     }
 
     @Test
-    void whatMustNotRunTwiceIsRepeatedOnlyAfterProofThatItNeverRan() {
-        Exchange exchange = begun(5);
-        assertFalse(guard.allows(exchange, UNSAFE, 5.1), "it is out");
+    void unsafeRequestIsRepeatedOnlyAfterProofThatItNeverRan() {
+        Exchange exchange = exchangeStartedAt(5);
+        assertFalse(guard.allows(exchange, UNSAFE, 5.1), "the first attempt is in flight");
         exchange.attempts().ended(0, Api.Outcome.RESET);
-        assertFalse(guard.allows(exchange, UNSAFE, 5.2), "it may have run");
-        Exchange other = begun(5);
+        assertFalse(guard.allows(exchange, UNSAFE, 5.2), "the first attempt may have run");
+        Exchange other = exchangeStartedAt(5);
         other.attempts().ended(0, Api.Outcome.CONNECT_FAILED);
         assertTrue(guard.allows(other, UNSAFE, 5.2));
     }
 
     @Test
-    void aKeyedOneIsRepeatedWithinTheWindowOfTheFirstThatMayHaveRun() {
-        Exchange exchange = begun(5);
+    void keyedRequestIsRepeatedWithinTheWindowOfTheFirstAttemptThatMayHaveRun() {
+        Exchange exchange = exchangeStartedAt(5);
         exchange.attempts().ended(0, Api.Outcome.FULL);
-        exchange.attempts().began(6);
+        exchange.attempts().started(6);
         exchange.attempts().ended(1, Api.Outcome.TIMEOUT);
-        assertTrue(guard.allows(exchange, KEYED, 7.4), "the first never ran");
+        assertTrue(guard.allows(exchange, KEYED, 7.4), "the first attempt never ran");
         assertFalse(guard.allows(exchange, KEYED, 7.5));
         assertTrue(guard.allows(exchange, SAFE, 7.5));
     }
 
     @Test
-    void noTwoAttemptsAreOutTogetherWhereSettingsForbidThat() {
-        Exchange exchange = begun(5);
+    void noConcurrentAttemptsIfSettingsForbidThem() {
+        Exchange exchange = exchangeStartedAt(5);
         assertFalse(guard(false).allows(exchange, SAFE, 5.1));
         exchange.attempts().ended(0, Api.Outcome.TIMEOUT);
         assertTrue(guard(false).allows(exchange, SAFE, 5.1));
