--- a/router/src/main/java/stagepier/settings/SettingsException.java
+++ b/router/src/main/java/stagepier/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package stagepier.settings;
 
-/** Settings that make no sense: the message names the key, in one line whatever words it quotes. */
+/** Thrown for invalid settings; the message names the key and is a single line, whatever text it quotes. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/stagepier/settings/SettingsParser.java
+++ b/router/src/main/java/stagepier/settings/SettingsParser.java
@@ -10,19 +10,19 @@
 import stagepier.Api;
 
 /**
- * Turns the settings text into {@link Api.Settings}: by key, unknown keys skipped, absent ones with the
- * meaning that the wire gives them. What cannot make sense is refused with a message that names the key.
+ * Parses the settings text into {@link Api.Settings}. Unknown keys are skipped, and absent keys get the default values
+ * that the wire format defines. Invalid settings are rejected with a message that names the key.
  */
 public final class SettingsParser {
     /**
-     * What a host needs besides the module's settings.
+     * The parsed settings: those of the module, and what its host needs besides.
      *
-     * @param reportFields values in a load report
-     * @param answerReport names of these values where answers hold the report, in their order; none elsewhere
-     * @param names        the words by which sockets name what the module knows by index
-     * @param idleClose    a server closes a connection that was idle for so many seconds; 0 for never
-     * @param slot         this balancer's number among all, from 0
-     * @param streams      requests that a server has in work at a time for one connection; what is beyond waits there
+     * @param reportFields number of values in a load report
+     * @param answerReport names of these values in their order if answers carry the report; otherwise empty
+     * @param names        the names used on sockets for what the module refers to by index
+     * @param idleClose    seconds after which a server closes an idle connection; 0 for never
+     * @param slot         index of this balancer among all balancers, from 0
+     * @param streams      requests that a server processes at a time per connection; further ones wait at the server
      */
     public record Parsed(
             Api.Settings settings,
@@ -33,7 +33,7 @@
             int slot,
             int streams) {}
 
-    /** The names in the settings, each at its index. */
+    /** The names in the settings; the position in a list is the index that the module uses. */
     public record Names(List<String> classes, List<String> tenants, List<String> zones, List<String> kinds) {}
 
     private SettingsParser() {}
@@ -56,8 +56,8 @@
         JsonObject family = object(o, "FamilyInfo");
         JsonObject report = object(o, "Report");
         List<String> fields = strings(report, "Fields");
-        String how = text(report, "How", "silent");
-        boolean reported = !how.equals("silent");
+        String reportMode = text(report, "How", "silent");
+        boolean reported = !reportMode.equals("silent");
         Api.Settings settings = new Api.Settings(
                 (int) number(o, "Siblings", 1),
                 (int) number(o, "Zone", 0),
@@ -74,11 +74,11 @@
                 reported ? layout(fields) : Api.ReportLayout.NONE,
                 text(o, "Discovery", "push").equals("ask"));
         Names names = new Names(
-                named(array(o, "Classes")), named(array(o, "Realms")), strings(o, "Areas"), strings(o, "Flavors"));
+                namesOf(array(o, "Classes")), namesOf(array(o, "Realms")), strings(o, "Areas"), strings(o, "Flavors"));
         return new Parsed(
                 settings,
                 fields.size(),
-                how.equals("piggyback") ? List.copyOf(fields) : List.of(),
+                reportMode.equals("piggyback") ? List.copyOf(fields) : List.of(),
                 names,
                 number(object(o, "Limits"), "IdleClose", 0),
                 (int) number(o, "SlotNo", 0),
@@ -109,7 +109,7 @@
         return List.copyOf(classes);
     }
 
-    private static List<String> named(JsonArray entries) {
+    private static List<String> namesOf(JsonArray entries) {
         List<String> names = new ArrayList<>();
         entries.forEach(e -> names.add(text(e.getAsJsonObject(), "Name", "")));
         return List.copyOf(names);
@@ -166,7 +166,7 @@
         return switch (word) {
             case "all" -> Api.Scope.ALL;
             case "zone" -> Api.Scope.ZONE;
-            // The narrowest group is safe whatever an unknown word means.
+            // The narrowest group is safe for any meaning of an unknown word.
             default -> Api.Scope.CELL;
         };
     }
@@ -206,10 +206,10 @@
         return number(o, key, 0);
     }
 
-    private static double number(JsonObject o, String key, double absent) {
+    private static double number(JsonObject o, String key, double defaultValue) {
         JsonElement e = o.get(key);
         if (e == null || e.isJsonNull()) {
-            return absent;
+            return defaultValue;
         }
         double value = e.getAsDouble();
         if (Double.isNaN(value) || Double.isInfinite(value)) {
@@ -218,13 +218,13 @@
         return value;
     }
 
-    private static boolean bool(JsonObject o, String key, boolean absent) {
+    private static boolean bool(JsonObject o, String key, boolean defaultValue) {
         JsonElement e = o.get(key);
-        return e == null || e.isJsonNull() ? absent : e.getAsBoolean();
+        return e == null || e.isJsonNull() ? defaultValue : e.getAsBoolean();
     }
 
-    private static String text(JsonObject o, String key, String absent) {
+    private static String text(JsonObject o, String key, String defaultValue) {
         JsonElement e = o.get(key);
-        return e == null || e.isJsonNull() ? absent : e.getAsString();
+        return e == null || e.isJsonNull() ? defaultValue : e.getAsString();
     }
 }
--- a/router/src/main/java/stagepier/settings/package-info.java
+++ b/router/src/main/java/stagepier/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The parser of the settings of the decision module, used by the router and by the simulator's adapter. */
+/** Parser for the settings of the decision module; used by the router and by the adapter to the simulator. */
 package stagepier.settings;
