--- a/router/src/main/java/stagepier/adapter/Adapter.java
+++ b/router/src/main/java/stagepier/adapter/Adapter.java
@@ -16,26 +16,27 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * Speaks the wire: reads batches of events, hands each to the instance that it names and writes one reply a
- * batch. Decides nothing. Instances share the reader and the reply buffer, never any state of theirs.
+ * Reads batches of events from the simulator, delivers each event to the instance that it names and writes one reply
+ * per batch. Makes no routing decisions. Instances share the reader and the reply buffer, but none of their own state.
  */
 public final class Adapter {
-    private static final int UP = 1040;
-    private static final int KILLED = 1060;
-    private static final int LIST = 1010;
+    // Record codes of the wire.
+    private static final int INSTANCE_START = 1040;
+    private static final int INSTANCE_STOP = 1060;
+    private static final int MEMBER_TABLE = 1010;
     private static final int DISCOVERY = 1070;
-    private static final int NEW_REQUEST = 1100;
-    private static final int HEADERS = 1020;
+    private static final int REQUEST = 1100;
+    private static final int FIRST_BYTE = 1020;
     private static final int RESPONSE = 1050;
-    private static final int HANGUP = 1030;
-    private static final int DUE = 1000;
-    private static final int HEALTH_RESULT = 1080;
-    private static final int WHISPER = 1090;
+    private static final int CLIENT_GONE = 1030;
+    private static final int TIMER_DUE = 1000;
+    private static final int PROBE_RESULT = 1080;
+    private static final int PEER_MESSAGE = 1090;
 
-    private static final int BATCH_HEADER = 16;
-    private static final int RECORD_HEADER = 6;
+    private static final int BATCH_HEADER_BYTES = 16;
+    private static final int RECORD_HEADER_BYTES = 6;
     private static final int ENTRY_BYTES = 21;
-    private static final int TABLES = 16;
+    private static final int MAX_MEMBER_TABLES = 16;
     private static final int DISCOVERY_FAILED = 3;
     private static final int DISCOVERY_DELTA = 0;
     private static final int HINT_VALID = 1;
@@ -58,7 +59,7 @@
         Api.MemberState.READY, Api.MemberState.GONE, Api.MemberState.DRAINING
     };
 
-    /** One balancer: its module and a report buffer of the size that its settings announce. */
+    /** One balancer: its module, a load report buffer of the size in its settings, and the reports of its peers. */
     private record Instance(RoutingPolicy policy, float[] report, PeerReports peers) {}
 
     private static final float[] NO_REPORT = {};
@@ -68,21 +69,21 @@
     private final ReplyWriter reply = new ReplyWriter();
     private final RecordReader record = new RecordReader();
     private final Instance[] instances = new Instance[1 << 16];
-    private final List<List<Api.Member>> tables = new ArrayList<>();
+    private final List<List<Api.Member>> memberTables = new ArrayList<>();
     private byte[] payload = new byte[1 << 16];
     private long batch;
 
     public Adapter(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
-        for (int i = 0; i < TABLES; i++) {
-            tables.add(null);
+        for (int i = 0; i < MAX_MEMBER_TABLES; i++) {
+            memberTables.add(null);
         }
     }
 
-    /** Answers batches until the input ends between two of them. */
+    /** Answers batches until the input ends between two batches. */
     public void run() throws IOException {
-        byte[] header = new byte[BATCH_HEADER];
+        byte[] header = new byte[BATCH_HEADER_BYTES];
         while (readHeader(header)) {
             batch++;
             int records = RecordReader.intAt(header, 0);
@@ -90,56 +91,58 @@
             if (records < 0 || length < 0) {
                 throw new WireException("batch " + batch + ": header is out of range");
             }
-            record.open(header, 8, BATCH_HEADER, "header");
+            record.open(header, 8, BATCH_HEADER_BYTES, "header");
             double now = record.f64();
             if (!Double.isFinite(now)) {
-                throw new WireException("batch " + batch + ": the clock is not a number");
+                throw new WireException("batch " + batch + ": clock value is not a finite number");
             }
             readPayload(length);
-            reply.at(now);
-            play(records, length, now);
+            reply.setTime(now);
+            processRecords(records, length, now);
             reply.flushTo(out);
         }
     }
 
     private boolean readHeader(byte[] header) throws IOException {
-        int n = in.readNBytes(header, 0, BATCH_HEADER);
-        if (n != 0 && n != BATCH_HEADER) {
+        int n = in.readNBytes(header, 0, BATCH_HEADER_BYTES);
+        if (n != 0 && n != BATCH_HEADER_BYTES) {
             throw new WireException("batch " + (batch + 1) + ": input ends inside the header");
         }
         return n != 0;
     }
 
     private void readPayload(int length) throws IOException {
-        // Grown as bytes arrive, so that a nonsense length does not ask for memory that no one sends.
-        int got = 0;
-        while (got < length) {
-            if (got == payload.length) {
-                payload = Arrays.copyOf(payload, (int) Math.min(length, got * 2L));
+        // The buffer grows as bytes arrive, so that a false length does not allocate memory for bytes that never
+        // arrive.
+        int received = 0;
+        while (received < length) {
+            if (received == payload.length) {
+                payload = Arrays.copyOf(payload, (int) Math.min(length, received * 2L));
             }
-            int n = in.readNBytes(payload, got, Math.min(length, payload.length) - got);
+            int n = in.readNBytes(payload, received, Math.min(length, payload.length) - received);
             if (n == 0) {
-                throw new WireException("batch " + batch + ": input ends after " + got + " of " + length + " bytes");
+                throw new WireException(
+                        "batch " + batch + ": input ends after " + received + " of " + length + " bytes");
             }
-            got += n;
+            received += n;
         }
     }
 
-    private void play(int records, int length, double now) {
+    private void processRecords(int records, int length, double now) {
         int at = 0;
         for (int i = 0; i < records; i++) {
             String where = "batch " + batch + " record " + i;
-            if (length - at < RECORD_HEADER) {
+            if (length - at < RECORD_HEADER_BYTES) {
                 throw new WireException(where + ": batch ends before it");
             }
             int code = (payload[at] & 0xff) << 8 | payload[at + 1] & 0xff;
             int fields = RecordReader.intAt(payload, at + 2);
-            int from = at + RECORD_HEADER;
+            int from = at + RECORD_HEADER_BYTES;
             if (fields < 0 || fields > length - from) {
                 throw new WireException(where + ": length " + Integer.toUnsignedLong(fields) + " exceeds the batch");
             }
             record.open(payload, from, from + fields, where);
-            event(code, now, where);
+            processRecord(code, now, where);
             record.close();
             at = from + fields;
         }
@@ -148,22 +151,22 @@
         }
     }
 
-    private void event(int code, double now, String where) {
-        if (code == LIST) {
-            readTable(where);
+    private void processRecord(int code, double now, String where) {
+        if (code == MEMBER_TABLE) {
+            readMemberTable(where);
             return;
         }
-        int who = record.u16();
-        if (code == UP) {
-            start(who);
+        int instanceId = record.u16();
+        if (code == INSTANCE_START) {
+            start(instanceId);
             return;
         }
-        Instance instance = instances[who];
+        Instance instance = instances[instanceId];
         if (instance == null) {
-            throw new WireException(where + ": instance " + who + " is not running");
+            throw new WireException(where + ": instance " + instanceId + " is not running");
         }
-        if (code == KILLED) {
-            instances[who] = null;
+        if (code == INSTANCE_STOP) {
+            instances[instanceId] = null;
             return;
         }
         try {
@@ -171,8 +174,8 @@
         } catch (WireException e) {
             throw e;
         } catch (RuntimeException e) {
-            reply.fault(who, faultText(e));
-            // The rest of the record no longer matters: the day ends with the fault.
+            reply.fault(instanceId, faultText(e));
+            // The rest of the record is skipped: the simulation run ends with the fault.
             record.open(payload, 0, 0, where);
         }
     }
@@ -184,26 +187,26 @@
 
     private void deliver(int code, Instance instance, double now, String where) {
         switch (code) {
-            case NEW_REQUEST -> request(instance.policy, now);
+            case REQUEST -> request(instance.policy, now);
             case RESPONSE -> response(instance, now, where);
-            case DUE -> due(instance, now);
+            case TIMER_DUE -> timerDue(instance, now);
             case DISCOVERY -> discovery(instance.policy, now, where);
-            case HANGUP -> instance.policy.onClientGone(now, record.u64());
-            case HEADERS -> headers(instance.policy, now);
-            case HEALTH_RESULT -> probed(instance, now, where);
-            case WHISPER -> whisper(instance, now);
+            case CLIENT_GONE -> instance.policy.onClientGone(now, record.u64());
+            case FIRST_BYTE -> firstByte(instance.policy, now);
+            case PROBE_RESULT -> probed(instance, now, where);
+            case PEER_MESSAGE -> peerMessage(instance, now);
             default -> throw new WireException(where + ": unknown record code " + code);
         }
     }
 
-    private void start(int who) {
+    private void start(int instanceId) {
         long seed = record.u64();
         try {
             SettingsParser.Parsed parsed = SettingsParser.parse(record.text());
             PeerReports peers =
                     new PeerReports(parsed.settings(), parsed.names().zones().size(), seed);
-            instances[who] = new Instance(
-                    new RoutingPolicy(parsed.settings(), seed, reply.hostFor(who, peers)),
+            instances[instanceId] = new Instance(
+                    new RoutingPolicy(parsed.settings(), seed, reply.hostFor(instanceId, peers)),
                     new float[parsed.reportFields()],
                     peers);
         } catch (SettingsException e) {
@@ -213,10 +216,10 @@
         }
     }
 
-    private void readTable(String where) {
+    private void readMemberTable(String where) {
         int number = record.i32();
-        if (number < 0 || number >= TABLES) {
-            throw new WireException(where + ": list number " + Integer.toUnsignedLong(number) + " is out of range");
+        if (number < 0 || number >= MAX_MEMBER_TABLES) {
+            throw new WireException(where + ": member table " + Integer.toUnsignedLong(number) + " is out of range");
         }
         int n = record.count(ENTRY_BYTES);
         List<Api.Member> members = new ArrayList<>(n);
@@ -233,7 +236,7 @@
             int zone = record.u8();
             members.add(new Api.Member(server, zone, cell, kind, STATES[state], weight, startedAt));
         }
-        tables.set(number, members);
+        memberTables.set(number, members);
     }
 
     private void discovery(RoutingPolicy policy, double now, String where) {
@@ -247,9 +250,9 @@
         if (mode > DISCOVERY_FAILED) {
             throw new WireException(where + ": discovery mode " + mode + " is unknown");
         }
-        List<Api.Member> members = number < 0 || number >= TABLES ? null : tables.get(number);
+        List<Api.Member> members = number < 0 || number >= MAX_MEMBER_TABLES ? null : memberTables.get(number);
         if (members == null) {
-            throw new WireException(where + ": list " + Integer.toUnsignedLong(number) + " was never given");
+            throw new WireException(where + ": member table " + Integer.toUnsignedLong(number) + " was never sent");
         }
         policy.onMembers(now, mode != DISCOVERY_DELTA, members);
     }
@@ -276,20 +279,20 @@
                         (options & WRITE) != 0));
     }
 
-    private void whisper(Instance instance, double now) {
+    private void peerMessage(Instance instance, double now) {
         int peer = (int) record.u32();
         byte[] message = record.bytes(record.u16());
         PeerReport report;
         try {
             report = PeerReportCodec.decode(message);
         } catch (IllegalArgumentException e) {
-            // Not this program's: nobody has to understand it.
+            // The message is from another program; it is ignored.
             return;
         }
         instance.policy.onPeers(now, instance.peers.take(now, peer, report));
     }
 
-    private void due(Instance instance, double now) {
+    private void timerDue(Instance instance, double now) {
         instance.policy.onTimer(now, record.u64());
         Collection<Long> changed = instance.peers.forget(now);
         if (!changed.isEmpty()) {
@@ -297,7 +300,7 @@
         }
     }
 
-    private void headers(RoutingPolicy policy, double now) {
+    private void firstByte(RoutingPolicy policy, double now) {
         long id = record.u64();
         record.u32();
         int attempt = record.u8();
@@ -312,8 +315,8 @@
         Api.Outcome outcome = outcome(where);
         double elapsed = record.f64();
         boolean finished = record.u8() != 0;
-        int detail = record.i32();
-        Api.Lookup lookup = detail >= 0 && detail < LOOKUPS.length ? LOOKUPS[detail] : Api.Lookup.UNKNOWN;
+        int lookupCode = record.i32();
+        Api.Lookup lookup = lookupCode >= 0 && lookupCode < LOOKUPS.length ? LOOKUPS[lookupCode] : Api.Lookup.UNKNOWN;
         float[] report = report(instance);
         instance.policy.onOutcome(now, id, attempt, server, outcome, elapsed, finished, lookup, report);
     }
@@ -327,11 +330,11 @@
     }
 
     private Api.Outcome outcome(String where) {
-        int verdict = record.u16();
-        if (verdict >= OUTCOMES.length) {
-            throw new WireException(where + ": outcome " + verdict + " is unknown");
+        int outcomeCode = record.u16();
+        if (outcomeCode >= OUTCOMES.length) {
+            throw new WireException(where + ": outcome " + outcomeCode + " is unknown");
         }
-        return OUTCOMES[verdict];
+        return OUTCOMES[outcomeCode];
     }
 
     private float[] report(Instance instance) {
--- a/router/src/main/java/stagepier/adapter/RecordReader.java
+++ b/router/src/main/java/stagepier/adapter/RecordReader.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads big-endian fields of one record in a reused buffer, and never past the record's end. */
+/** Reads the big-endian fields of one record from a reused buffer, never past the end of the record. */
 final class RecordReader {
     private byte[] bytes;
     private int at;
@@ -17,7 +17,7 @@
         where = what;
     }
 
-    /** Every record must be used up: a longer one means that the two sides disagree about its fields. */
+    /** Checks that the record was read to its end; a longer one means that both sides disagree on its fields. */
     void close() {
         if (at != end) {
             throw new WireException(where + ": " + (end - at) + " bytes too many");
@@ -60,7 +60,7 @@
         return Float.intBitsToFloat(i32());
     }
 
-    /** A count of entries of at least {@code size} bytes each; one that cannot fit is refused here. */
+    /** Reads a count of entries of at least {@code size} bytes each; rejects a count that exceeds the record. */
     int count(int size) {
         long n = u32();
         if (n * size > end - at) {
--- a/router/src/main/java/stagepier/adapter/ReplyWriter.java
+++ b/router/src/main/java/stagepier/adapter/ReplyWriter.java
@@ -8,60 +8,61 @@
 import stagepier.Api;
 import stagepier.peers.PeerReports;
 
-/** Collects one reply in a reused buffer: header (length, count), then records. */
+/** Collects one reply in a reused buffer: a header (length, number of records), then the records. */
 final class ReplyWriter {
-    static final int DISPATCH = 1020;
-    static final int STOP_ATTEMPT = 1070;
-    static final int BUSY = 1110;
-    static final int GIVE_UP = 1030;
-    static final int AFTER = 1040;
-    static final int SOUND_OUT = 1000;
-    static final int CLOSE = 1060;
-    static final int KEEP_INFORMED = 1050;
-    static final int SHARE = 1010;
-    static final int NOTE_DOWN = 1100;
-    static final int EXCEPTION = 1090;
-    private static final int HEADER = 8;
-    private static final int MAX_TEXT = 2000;
+    // Record codes of the wire.
+    static final int SEND = 1020;
+    static final int CANCEL = 1070;
+    static final int REFUSE = 1110;
+    static final int FAIL = 1030;
+    static final int SET_TIMER = 1040;
+    static final int PROBE = 1000;
+    static final int CLOSE_IDLE = 1060;
+    static final int WATCH_MEMBERS = 1050;
+    static final int PEER_MESSAGE = 1010;
+    static final int LOG_LINE = 1100;
+    static final int FAULT = 1090;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_TEXT_CHARS = 2000;
 
     private byte[] bytes = new byte[1 << 16];
-    private int length = HEADER;
+    private int length = HEADER_BYTES;
     private int records;
     private double time;
 
     void flushTo(OutputStream out) throws IOException {
-        putInt(0, length - HEADER);
+        putInt(0, length - HEADER_BYTES);
         putInt(4, records);
         out.write(bytes, 0, length);
         out.flush();
-        length = HEADER;
+        length = HEADER_BYTES;
         records = 0;
     }
 
     void fault(int instance, String text) {
-        text(EXCEPTION, instance, text);
+        text(FAULT, instance, text);
     }
 
-    /** The time of all that is collected from now on. */
-    void at(double now) {
+    /** Sets the time of the records that follow. */
+    void setTime(double now) {
         time = now;
     }
 
-    /** A message of an instance to all others. */
-    private void share(int instance, byte[] message) {
-        begin(SHARE, 8 + message.length, instance);
+    /** Writes a message of one instance to all others. */
+    private void peerMessage(int instance, byte[] message) {
+        begin(PEER_MESSAGE, 8 + message.length, instance);
         u32(-1);
         u16(message.length);
         System.arraycopy(message, 0, bytes, length, message.length);
         length += message.length;
     }
 
-    /** The actions of one instance. */
+    /** Returns the host of one instance, which writes the actions of its module as records. */
     Api.Host hostFor(int instance, PeerReports peers) {
         return new Api.Host() {
             @Override
             public void send(long request, long server, double timeout) {
-                begin(DISPATCH, 22, instance);
+                begin(SEND, 22, instance);
                 u64(request);
                 u32((int) server);
                 u64(Double.doubleToRawLongBits(timeout));
@@ -69,46 +70,46 @@
 
             @Override
             public void cancel(long request, int attempt) {
-                begin(STOP_ATTEMPT, 11, instance);
+                begin(CANCEL, 11, instance);
                 u64(request);
                 bytes[length++] = (byte) attempt;
             }
 
             @Override
             public void refuse(long request, double retryAfter) {
-                begin(BUSY, 18, instance);
+                begin(REFUSE, 18, instance);
                 u64(request);
                 u64(Double.doubleToRawLongBits(retryAfter));
             }
 
             @Override
             public void fail(long request) {
-                begin(GIVE_UP, 10, instance);
+                begin(FAIL, 10, instance);
                 u64(request);
             }
 
             @Override
             public void setTimer(double delay, long token) {
-                begin(AFTER, 18, instance);
+                begin(SET_TIMER, 18, instance);
                 u64(Double.doubleToRawLongBits(delay));
                 u64(token);
             }
 
             @Override
             public void probe(long server) {
-                begin(SOUND_OUT, 6, instance);
+                begin(PROBE, 6, instance);
                 u32((int) server);
             }
 
             @Override
             public void closeIdle(long server) {
-                begin(CLOSE, 6, instance);
+                begin(CLOSE_IDLE, 6, instance);
                 u32((int) server);
             }
 
             @Override
             public void watchMembers() {
-                begin(KEEP_INFORMED, 3, instance);
+                begin(WATCH_MEMBERS, 3, instance);
                 bytes[length++] = 1;
             }
 
@@ -116,7 +117,7 @@
             public void reportToPeers(List<Api.ServerReport> news) {
                 byte[] message = peers.message(time, news);
                 if (message != null) {
-                    share(instance, message);
+                    peerMessage(instance, message);
                 }
             }
 
@@ -132,13 +133,13 @@
 
             @Override
             public void logMessage(String line) {
-                text(NOTE_DOWN, instance, line);
+                text(LOG_LINE, instance, line);
             }
         };
     }
 
     private void text(int code, int instance, String text) {
-        String cut = text.length() > MAX_TEXT ? text.substring(0, MAX_TEXT) : text;
+        String cut = text.length() > MAX_TEXT_CHARS ? text.substring(0, MAX_TEXT_CHARS) : text;
         byte[] utf8 = cut.getBytes(StandardCharsets.UTF_8);
         begin(code, 4 + utf8.length, instance);
         u16(utf8.length);
--- a/router/src/main/java/stagepier/adapter/WireException.java
+++ b/router/src/main/java/stagepier/adapter/WireException.java
@@ -1,6 +1,6 @@
 package stagepier.adapter;
 
-/** Input that is not the wire: its message names what is wrong and where. */
+/** Thrown when the input violates the wire format; the message names the violation and its place. */
 public final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/stagepier/adapter/package-info.java
+++ b/router/src/main/java/stagepier/adapter/package-info.java
@@ -1,2 +1,2 @@
-/** The simulator's wire: binary batches of events on standard input, replies on standard output. */
+/** Adapter to the simulator: reads binary batches of events from standard input, writes replies to standard output. */
 package stagepier.adapter;
--- a/router/src/test/java/stagepier/adapter/Action.java
+++ b/router/src/test/java/stagepier/adapter/Action.java
@@ -2,9 +2,9 @@
 
 import java.nio.ByteBuffer;
 
-/** One action of a reply, for tests. */
+/** One action record of a reply. */
 record Action(int code, ByteBuffer fields) {
-    int who() {
+    int instance() {
         return fields.getShort(0);
     }
 
--- a/router/src/test/java/stagepier/adapter/AdapterTest.java
+++ b/router/src/test/java/stagepier/adapter/AdapterTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stagepier.settings.SettingsParser;
 
-/** The wire in bytes, both ways. */
+/** Checks the bytes of the wire format in both directions. */
 class AdapterTest {
     private static final String CLASSES = "\"Classes\":[{\"Name\":\"get\",\"Repeat\":\"idempotent\",\"Deadline\":1.0,"
             + "\"GoalTime\":0.5},{\"Name\":\"put\",\"Repeat\":\"at_most_once\",\"Deadline\":1.0}]";
     private static final String SETTINGS = "{" + CLASSES + ",\"Limits\":{\"MaxAttempts\":3,\"MaxRetryAfter\":0.5},"
-            + "\"Siblings\":2,\"Unheard\":[1,{\"of\":null}]}";
+            + "\"Siblings\":2,\"UnknownKey\":[1,{\"of\":null}]}";
 
     private static byte[] run(byte[]... batches) throws IOException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
@@ -34,7 +34,7 @@
         return out.toByteArray();
     }
 
-    /** All replies, each as its list of actions. */
+    /** Returns all replies, each as the list of its actions. */
     static List<List<Action>> replies(byte[]... batches) throws IOException {
         ByteBuffer in = ByteBuffer.wrap(run(batches));
         List<List<Action>> replies = new ArrayList<>();
@@ -55,13 +55,16 @@
         return replies;
     }
 
-    /** Without timers, of which the module sets one for each read that it may find late. */
+    /** Returns the actions except timers; the module sets one for each read that may turn out late. */
     private static List<Action> answers(List<Action> actions) {
         return actions.stream().filter(a -> a.code() != 1040).toList();
     }
 
-    private static Batch started(double now) {
-        return new Batch(now).up(3, SETTINGS).list(0, 0xf0000001L, 2, 5).discovery(3, 2, 0);
+    private static Batch startBatch(double now) {
+        return new Batch(now)
+                .instanceStart(3, SETTINGS)
+                .memberTable(0, 0xf0000001L, 2, 5)
+                .discovery(3, 2, 0);
     }
 
     private static byte[] hex(String text) {
@@ -69,18 +72,18 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals("0000000000000000", HexFormat.of().formatHex(run(hex("00000000 00000000 4020d3126e978d50"))));
         assertEquals(0, run().length);
     }
 
-    /** The sample frame of the wire's page: a request, a timer and a client that leaves, for two instances. */
+    /** The sample batch of the wire documentation: a request, a timer and a disconnecting client, for two instances. */
     @Test
-    void theSampleFrameIsRead() throws IOException {
+    void sampleBatchIsParsed() throws IOException {
         byte[] start = new Batch(8.0)
-                .up(3, SETTINGS)
-                .up(5, SETTINGS)
-                .list(1, 0x03124a07L)
+                .instanceStart(3, SETTINGS)
+                .instanceStart(5, SETTINGS)
+                .memberTable(1, 0x03124a07L)
                 .discovery(3, 2, 1)
                 .bytes();
         byte[] sample = hex("00000003 00000053 4020d3126e978d50"
@@ -89,7 +92,7 @@
         List<List<Action>> replies = replies(start, sample);
         Action send = replies.get(1).get(0);
         assertEquals(1020, send.code());
-        assertEquals(3, send.who());
+        assertEquals(3, send.instance());
         assertEquals(0x00005b715d3a91c4L, send.id());
         assertEquals(0x03124a07L, send.server());
         assertEquals(
@@ -97,8 +100,9 @@
     }
 
     @Test
-    void theDispatchIsFramedAsTheWireSays() throws IOException {
-        byte[] out = run(started(1).bytes(), new Batch(2).request(3, 0x5b71, 0).bytes());
+    void sendRecordHasTheWireFormat() throws IOException {
+        byte[] out =
+                run(startBatch(1).bytes(), new Batch(2).request(3, 0x5b71, 0).bytes());
         String text = HexFormat.of().formatHex(out);
         assertTrue(
                 text.startsWith("0000000000000000" + "0000003400000002" + "03fc00000016" + "0003" + "0000000000005b71"),
@@ -106,13 +110,13 @@
     }
 
     @Test
-    void listNumbersAreReusedAndResolveByTheOrderOfEvents() throws IOException {
+    void memberTableNumbersAreReusedAndResolveInTheOrderOfEvents() throws IOException {
         byte[] start = new Batch(1)
-                .up(1, SETTINGS)
-                .up(2, SETTINGS)
-                .list(0, 11)
+                .instanceStart(1, SETTINGS)
+                .instanceStart(2, SETTINGS)
+                .memberTable(0, 11)
                 .discovery(1, 2, 0)
-                .list(0, 22)
+                .memberTable(0, 22)
                 .discovery(2, 2, 0)
                 .request(1, 100, 0)
                 .request(2, 200, 0)
@@ -123,49 +127,50 @@
     }
 
     @Test
-    void anInstanceMayBeKilledAndStartedWithinOneBatch() throws IOException {
+    void instanceMayBeStoppedAndStartedWithinOneBatch() throws IOException {
         byte[] again = new Batch(2)
-                .killed(3)
-                .up(3, SETTINGS)
-                .list(4, 9)
+                .instanceStop(3)
+                .instanceStart(3, SETTINGS)
+                .memberTable(4, 9)
                 .discovery(3, 2, 4)
                 .request(3, 8, 0)
                 .bytes();
         List<Action> actions =
-                answers(replies(started(1).request(3, 7, 0).bytes(), again).get(1));
+                answers(replies(startBatch(1).request(3, 7, 0).bytes(), again).get(1));
         assertEquals(1, actions.size());
         assertEquals(9, actions.get(0).server());
     }
 
     @Test
-    void aFailedDiscoveryKeepsTheList() throws IOException {
-        List<Action> actions =
-                replies(started(1).discovery(3, 3, 99).request(3, 8, 0).bytes()).get(0);
+    void failedDiscoveryKeepsTheServerList() throws IOException {
+        List<Action> actions = replies(
+                        startBatch(1).discovery(3, 3, 99).request(3, 8, 0).bytes())
+                .get(0);
         assertEquals(1020, actions.get(0).code());
     }
 
     @Test
-    void everyOutcomeIsTakenAndAnswered() throws IOException {
-        for (int verdict = 1; verdict <= 8; verdict++) {
-            List<List<Action>> replies = replies(started(1).request(3, 8, 1).bytes());
+    void everyOutcomeIsAcceptedAndAnswered() throws IOException {
+        for (int outcome = 1; outcome <= 8; outcome++) {
+            List<List<Action>> replies = replies(startBatch(1).request(3, 8, 1).bytes());
             long server = replies.get(0).get(0).server();
             List<Action> after = replies(
-                            started(1).request(3, 8, 1).bytes(),
+                            startBatch(1).request(3, 8, 1).bytes(),
                             new Batch(1.01)
-                                    .response(3, 8, 0, server, verdict, false)
+                                    .response(3, 8, 0, server, outcome, false)
                                     .bytes())
                     .get(1);
-            boolean neverRan = verdict == 2 || verdict == 4 || verdict == 7;
-            if (verdict != 8) {
-                assertEquals(neverRan ? 1020 : 1030, after.get(0).code(), "outcome " + verdict);
+            boolean neverRan = outcome == 2 || outcome == 4 || outcome == 7;
+            if (outcome != 8) {
+                assertEquals(neverRan ? 1020 : 1030, after.get(0).code(), "outcome " + outcome);
             }
         }
     }
 
     @Test
-    void aFaultInTheModuleBecomesTheFaultRecordAndTheReplyStaysWhole() throws IOException {
+    void moduleFaultIsReportedAndTheReplyStaysComplete() throws IOException {
         List<List<Action>> replies =
-                replies(started(1).request(3, 8, 17).request(3, 9, 0).bytes());
+                replies(startBatch(1).request(3, 8, 17).request(3, 9, 0).bytes());
         Action fault = replies.get(0).get(0);
         assertEquals(1090, fault.code());
         String text = new String(fault.fields().array(), 4, fault.fields().capacity() - 4, StandardCharsets.UTF_8);
@@ -174,55 +179,58 @@
     }
 
     @Test
-    void batchesOfMegabytesAreRead() throws IOException {
+    void batchesOfSeveralMegabytesAreParsed() throws IOException {
         Batch big = new Batch(2);
         for (int i = 0; i < 40_000; i++) {
             big.request(3, 1000 + i, 0);
         }
         assertTrue(big.bytes().length > 2_000_000);
         assertEquals(
-                40_000, answers(replies(started(1).bytes(), big.bytes()).get(1)).size());
+                40_000,
+                answers(replies(startBatch(1).bytes(), big.bytes()).get(1)).size());
     }
 
-    private static String complaint(byte[]... batches) {
+    private static String errorMessage(byte[]... batches) {
         return assertThrows(WireException.class, () -> run(batches)).getMessage();
     }
 
     @Test
-    void malformedInputIsNamed() {
-        byte[] whole = started(1).bytes();
-        assertTrue(complaint(java.util.Arrays.copyOf(whole, 9)).contains("inside the header"));
-        assertTrue(complaint(java.util.Arrays.copyOf(whole, whole.length - 1)).contains("input ends after"));
-        assertTrue(complaint(hex("00000001 00000002 0000000000000000 0001")).contains("ends before it"));
-        assertTrue(complaint(hex("00000001 00000008 0000000000000000 0424 00000009 0003"))
+    void malformedInputIsReportedWithItsCause() {
+        byte[] whole = startBatch(1).bytes();
+        assertTrue(errorMessage(java.util.Arrays.copyOf(whole, 9)).contains("inside the header"));
+        assertTrue(
+                errorMessage(java.util.Arrays.copyOf(whole, whole.length - 1)).contains("input ends after"));
+        assertTrue(errorMessage(hex("00000001 00000002 0000000000000000 0001")).contains("ends before it"));
+        assertTrue(errorMessage(hex("00000001 00000008 0000000000000000 0424 00000009 0003"))
                 .contains("exceeds"));
-        assertTrue(complaint(hex("00000000 00000001 0000000000000000 00")).contains("after the last record"));
-        assertTrue(complaint(hex("ffffffff 00000000 0000000000000000")).contains("out of range"));
-        assertTrue(complaint(hex("00000000 00000000 7ff8000000000000")).contains("clock"));
-        assertTrue(complaint(
+        assertTrue(errorMessage(hex("00000000 00000001 0000000000000000 00")).contains("after the last record"));
+        assertTrue(errorMessage(hex("ffffffff 00000000 0000000000000000")).contains("out of range"));
+        assertTrue(errorMessage(hex("00000000 00000000 7ff8000000000000")).contains("clock"));
+        assertTrue(errorMessage(
                         whole, new Batch(2).record(1234, o -> o.writeShort(3)).bytes())
                 .contains("code 1234"));
-        assertTrue(complaint(new Batch(2).killed(9).bytes()).contains("instance 9 is not running"));
-        assertTrue(complaint(
+        assertTrue(errorMessage(new Batch(2).instanceStop(9).bytes()).contains("instance 9 is not running"));
+        assertTrue(errorMessage(
                         whole,
                         new Batch(2).record(1060, o -> o.writeInt(3 << 16)).bytes())
                 .contains("too many"));
-        assertTrue(complaint(
+        assertTrue(errorMessage(
                         whole, new Batch(2).record(1000, o -> o.writeShort(3)).bytes())
                 .contains("ends inside a field"));
-        assertTrue(complaint(whole, new Batch(2).discovery(3, 0, 7).bytes()).contains("never given"));
-        assertTrue(complaint(whole, new Batch(2).discovery(3, 9, 0).bytes()).contains("mode 9"));
-        assertTrue(complaint(whole, new Batch(2).response(3, 1, 0, 2, 33, false).bytes())
-                .contains("outcome 33"));
-        assertTrue(complaint(new Batch(2).list(16).bytes()).contains("out of range"));
-        assertTrue(complaint(new Batch(2)
+        assertTrue(errorMessage(whole, new Batch(2).discovery(3, 0, 7).bytes()).contains("never sent"));
+        assertTrue(errorMessage(whole, new Batch(2).discovery(3, 9, 0).bytes()).contains("mode 9"));
+        assertTrue(
+                errorMessage(whole, new Batch(2).response(3, 1, 0, 2, 33, false).bytes())
+                        .contains("outcome 33"));
+        assertTrue(errorMessage(new Batch(2).memberTable(16).bytes()).contains("out of range"));
+        assertTrue(errorMessage(new Batch(2)
                         .record(1010, o -> {
                             o.writeInt(0);
                             o.writeInt(1 << 30);
                         })
                         .bytes())
                 .contains("does not fit"));
-        assertTrue(complaint(
+        assertTrue(errorMessage(
                         whole,
                         new Batch(2)
                                 .record(1060, o -> o.writeShort(3))
@@ -246,18 +254,18 @@
                 "{\"Classes\":[{\"Repeat\":\"idempotent\",\"Deadline\":\"soon\"}]}",
                 "{\"FamilyInfo\":{\"Mode\":\"aside\"},\"Classes\":[{\"Repeat\":\"idempotent\",\"Deadline\":1}]}"
             })
-    void settingsThatCannotBeUsedAreRefusedInOnePlainLine(String settings) {
-        String message = complaint(new Batch(1).up(1, settings).bytes());
+    void invalidSettingsAreRejectedWithAOneLineMessage(String settings) {
+        String message = errorMessage(new Batch(1).instanceStart(1, settings).bytes());
         assertTrue(message.contains("settings"), message);
         assertTrue(message.lines().count() == 1, message);
     }
 
     @Test
-    void absentSettingsHaveTheirDocumentedMeaning() {
+    void absentSettingsHaveTheirDocumentedDefaults() {
         var s = SettingsParser.parse("{" + CLASSES + "}").settings();
         assertEquals(1, s.balancers());
         assertEquals(0.5, s.classes().get(0).target());
-        assertEquals(1.0, s.classes().get(1).target(), "without an aim, the deadline is the aim");
+        assertEquals(1.0, s.classes().get(1).target(), "without a GoalTime, the deadline is the target");
         assertEquals(stagepier.Api.WeightMeaning.NONE, s.weights());
         assertEquals(stagepier.Api.Fetching.THROUGH, s.fetching());
         assertTrue(s.tenants().isEmpty());
--- a/router/src/test/java/stagepier/adapter/Batch.java
+++ b/router/src/test/java/stagepier/adapter/Batch.java
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Builds one batch of the wire, for tests. */
+/** Builds one batch in the wire format of the simulator. */
 final class Batch {
     private final ByteArrayOutputStream records = new ByteArrayOutputStream();
     private final double now;
@@ -36,17 +36,17 @@
         }
     }
 
-    Batch up(int who, String settings) {
+    Batch instanceStart(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(1040, o -> {
-            o.writeShort(who);
+            o.writeShort(instance);
             o.writeLong(99);
             o.writeInt(text.length);
             o.write(text);
         });
     }
 
-    Batch list(int table, long... servers) {
+    Batch memberTable(int table, long... servers) {
         return record(1010, o -> {
             o.writeInt(table);
             o.writeInt(servers.length);
@@ -62,22 +62,22 @@
         });
     }
 
-    Batch discovery(int who, int mode, int table) {
+    Batch discovery(int instance, int mode, int table) {
         return record(1070, o -> {
-            o.writeShort(who);
+            o.writeShort(instance);
             o.writeByte(mode);
             o.writeLong(1);
             o.writeInt(table);
         });
     }
 
-    Batch request(int who, long id, int classIndex) {
-        return request(who, id, classIndex, 0, 77);
+    Batch request(int instance, long id, int classIndex) {
+        return request(instance, id, classIndex, 0, 77);
     }
 
-    Batch request(int who, long id, int classIndex, int tenant, long key) {
+    Batch request(int instance, long id, int classIndex, int tenant, long key) {
         return record(1100, o -> {
-            o.writeShort(who);
+            o.writeShort(instance);
             o.writeLong(id);
             o.writeShort(classIndex);
             o.writeInt(tenant);
@@ -89,29 +89,29 @@
         });
     }
 
-    Batch response(int who, long id, int attempt, long server, int verdict, boolean over) {
+    Batch response(int instance, long id, int attempt, long server, int outcome, boolean finished) {
         return record(1050, o -> {
-            o.writeShort(who);
+            o.writeShort(instance);
             o.writeLong(id);
             o.writeByte(attempt);
             o.writeInt((int) server);
-            o.writeShort(verdict);
+            o.writeShort(outcome);
             o.writeDouble(0.01);
-            o.writeByte(over ? 1 : 0);
+            o.writeByte(finished ? 1 : 0);
             o.writeInt(1);
             o.writeByte(0);
         });
     }
 
-    Batch due(int who, long token) {
+    Batch timerDue(int instance, long token) {
         return record(1000, o -> {
-            o.writeShort(who);
+            o.writeShort(instance);
             o.writeLong(token);
         });
     }
 
-    Batch killed(int who) {
-        return record(1060, o -> o.writeShort(who));
+    Batch instanceStop(int instance) {
+        return record(1060, o -> o.writeShort(instance));
     }
 
     byte[] bytes() {
--- a/router/src/test/java/stagepier/adapter/Customers.java
+++ b/router/src/test/java/stagepier/adapter/Customers.java
@@ -1,6 +1,6 @@
 package stagepier.adapter;
 
-/** Settings of two customers that have as little in common as the wire allows. */
+/** Settings of two customers that differ as much as the wire format allows. */
 final class Customers {
     static final String PAGES = """
             {"Siblings":4,"SlotNo":1,"Zone":1,"Period":0.004,"Areas":["oslo","oslo-2"],"Flavors":["blade","blade-old"],
--- a/router/src/test/java/stagepier/adapter/GarbledSettingsTest.java
+++ b/router/src/test/java/stagepier/adapter/GarbledSettingsTest.java
@@ -13,9 +13,11 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Every member of a customer's settings spoilt in turn: it is refused in one line, or a request is decided all the same. */
+/**
+ * Replaces each member of valid settings in turn: the settings are rejected in one line, or requests are still decided.
+ */
 class GarbledSettingsTest {
-    private static final List<String> SPOILT = List.of(
+    private static final List<String> REPLACEMENTS = List.of(
             "null",
             "\"\"",
             "\"\\n\\tat x\"",
@@ -32,80 +34,85 @@
             "[{}]",
             "{\"a\":null}");
 
-    /** Calls with each whole text that has one member replaced, removed or joined by one that nobody knows. */
-    private static void eachSpoilt(JsonElement root, JsonElement at, Consumer<String> test) {
-        if (at.isJsonObject()) {
-            JsonObject o = at.getAsJsonObject();
+    /**
+     * Calls the test with each settings text in which one member is replaced or removed, or an unknown one is added.
+     */
+    private static void forEachVariant(JsonElement root, JsonElement element, Consumer<String> test) {
+        if (element.isJsonObject()) {
+            JsonObject o = element.getAsJsonObject();
             for (String key : List.copyOf(o.keySet())) {
-                JsonElement was = o.get(key);
-                for (String spoilt : SPOILT) {
-                    o.add(key, JsonParser.parseString(spoilt));
+                JsonElement original = o.get(key);
+                for (String replacement : REPLACEMENTS) {
+                    o.add(key, JsonParser.parseString(replacement));
                     test.accept(root.toString());
                 }
                 o.remove(key);
                 test.accept(root.toString());
-                o.add(key, was);
-                eachSpoilt(root, was, test);
+                o.add(key, original);
+                forEachVariant(root, original, test);
             }
-            o.add("Unheard", new JsonArray());
+            o.add("UnknownKey", new JsonArray());
             test.accept(root.toString());
-            o.remove("Unheard");
-        } else if (at.isJsonArray()) {
-            JsonArray a = at.getAsJsonArray();
+            o.remove("UnknownKey");
+        } else if (element.isJsonArray()) {
+            JsonArray a = element.getAsJsonArray();
             for (int i = 0; i < a.size(); i++) {
-                JsonElement was = a.get(i);
-                for (String spoilt : SPOILT) {
-                    a.set(i, JsonParser.parseString(spoilt));
+                JsonElement original = a.get(i);
+                for (String replacement : REPLACEMENTS) {
+                    a.set(i, JsonParser.parseString(replacement));
                     test.accept(root.toString());
                 }
-                a.set(i, was);
-                eachSpoilt(root, was, test);
+                a.set(i, original);
+                forEachVariant(root, original, test);
             }
         }
     }
 
-    /** What is wrong with how these settings are taken, or null. */
-    private static String fault(String settings) {
+    /** Returns what is wrong with the handling of these settings, or null. */
+    private static String failure(String settings) {
         try {
-            Batch batch = new Batch(5).up(3, settings).list(0, 1, 2, 3).discovery(3, 2, 0);
+            Batch batch = new Batch(5)
+                    .instanceStart(3, settings)
+                    .memberTable(0, 1, 2, 3)
+                    .discovery(3, 2, 0);
             for (int i = 0; i < 8; i++) {
                 batch.request(3, i + 1, 0, i % 3, i);
             }
             Batch later = new Batch(5.05);
             for (int i = 0; i < 8; i++) {
-                later.due(3, i + 1);
+                later.timerDue(3, i + 1);
             }
             boolean failed = AdapterTest.replies(batch.bytes(), later.bytes()).stream()
                     .flatMap(List::stream)
                     .anyMatch(a -> a.code() == 1090);
-            return failed ? "the module failed" : null;
+            return failed ? "the module threw an exception" : null;
         } catch (WireException e) {
             String message = e.getMessage();
             return message.startsWith("settings: ") && message.lines().count() == 1
                     ? null
-                    : "not one plain line: " + message;
+                    : "not a one-line message: " + message;
         } catch (IOException | RuntimeException e) {
             return e.toString();
         }
     }
 
     @Test
-    void eachIsRefusedInOneLineOrTaken() {
-        List<String> faults = new ArrayList<>();
-        int[] tried = new int[1];
+    void eachVariantIsRejectedInOneLineOrAccepted() {
+        List<String> failures = new ArrayList<>();
+        int[] variants = new int[1];
         for (String customer : List.of(Customers.PAGES, Customers.CREDIT)) {
-            assertEquals(null, fault(customer));
+            assertEquals(null, failure(customer));
             JsonElement root = JsonParser.parseString(customer);
-            eachSpoilt(root, root, settings -> {
-                tried[0]++;
-                String fault = fault(settings);
-                if (fault != null) {
-                    faults.add(fault + " for " + settings.replace("\n", ""));
+            forEachVariant(root, root, settings -> {
+                variants[0]++;
+                String failure = failure(settings);
+                if (failure != null) {
+                    failures.add(failure + " for " + settings.replace("\n", ""));
                 }
             });
-            assertEquals(JsonParser.parseString(customer), root, "each was put back");
+            assertEquals(JsonParser.parseString(customer), root, "each member is restored");
         }
-        assertEquals(List.of(), faults.stream().limit(20).toList());
-        assertTrue(tried[0] > 1000, tried[0] + " are too few");
+        assertEquals(List.of(), failures.stream().limit(20).toList());
+        assertTrue(variants[0] > 1000, variants[0] + " variants are too few");
     }
 }
--- a/router/src/test/java/stagepier/adapter/TwoCustomersTest.java
+++ b/router/src/test/java/stagepier/adapter/TwoCustomersTest.java
@@ -26,68 +26,68 @@
 import stagepier.overload.LoopDelay;
 import stagepier.settings.SettingsParser;
 
-/** Guards against anything that decisions for one customer leave behind in the process for those of another. */
+/** Checks that decisions for one customer leave no state in the process that affects those for another. */
 class TwoCustomersTest {
     private static final int ROUNDS = 150;
-    /** A restart with the other's state still in the process. */
-    private static final int RESTART = 90;
+    /** Round of a restart, at which the state of the other instance is still in the process. */
+    private static final int RESTART_ROUND = 90;
 
-    private static final double STEP = 0.02;
+    private static final double STEP_S = 0.02;
 
-    /** One balancer's day, played alone: what it is told follows from what it did. */
-    private static final class Day {
-        private final int who;
+    /** A run of a single balancer; its events follow from its own actions. */
+    private static final class InstanceRun {
+        private final int instance;
         private final String settings;
         private final int classes;
         private final SplittableRandom random;
-        private final List<List<Consumer<Batch>>> told = new ArrayList<>();
+        private final List<List<Consumer<Batch>>> eventsByRound = new ArrayList<>();
         private final TreeMap<Double, List<Long>> timers = new TreeMap<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
-        private final List<Action> toAnswer = new ArrayList<>();
+        private final List<Action> unansweredSends = new ArrayList<>();
         private List<List<Action>> replies = List.of();
         private long lastId;
 
-        Day(int who, String settings, int classes) {
-            this.who = who;
+        InstanceRun(int instance, String settings, int classes) {
+            this.instance = instance;
             this.settings = settings;
             this.classes = classes;
-            random = new SplittableRandom(who);
+            random = new SplittableRandom(instance);
         }
 
-        Day play() throws IOException {
+        InstanceRun execute() throws IOException {
             for (int round = 0; round < ROUNDS; round++) {
-                told.add(events(round));
+                eventsByRound.add(events(round));
                 byte[][] batches = new byte[round + 1][];
                 for (int i = 0; i <= round; i++) {
-                    batches[i] = batch(i, List.of(told.get(i)));
+                    batches[i] = batch(i, List.of(eventsByRound.get(i)));
                 }
                 replies = AdapterTest.replies(batches);
-                replies.get(round).forEach(action -> heard(now(told.size() - 1), action));
+                replies.get(round).forEach(action -> onAction(now(eventsByRound.size() - 1), action));
             }
             return this;
         }
 
         private List<Consumer<Batch>> events(int round) {
             List<Consumer<Batch>> events = new ArrayList<>();
-            if (round == 0 || round == RESTART) {
+            if (round == 0 || round == RESTART_ROUND) {
                 if (round > 0) {
-                    events.add(b -> b.killed(who));
+                    events.add(b -> b.instanceStop(instance));
                 }
                 timers.clear();
-                toAnswer.clear();
-                events.add(b -> b.up(who, settings));
-                events.add(b -> b.list(who, 11, 12, 13, 14, 15, 16));
-                events.add(b -> b.discovery(who, 2, who));
+                unansweredSends.clear();
+                events.add(b -> b.instanceStart(instance, settings));
+                events.add(b -> b.memberTable(instance, 11, 12, 13, 14, 15, 16));
+                events.add(b -> b.discovery(instance, 2, instance));
             }
             while (!timers.isEmpty() && timers.firstKey() <= now(round)) {
-                timers.pollFirstEntry().getValue().forEach(token -> events.add(b -> b.due(who, token)));
+                timers.pollFirstEntry().getValue().forEach(token -> events.add(b -> b.timerDue(instance, token)));
             }
-            for (Action send : List.copyOf(toAnswer)) {
+            for (Action send : List.copyOf(unansweredSends)) {
                 if (random.nextInt(3) > 0) {
-                    toAnswer.remove(send);
+                    unansweredSends.remove(send);
                     int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
-                    int verdict = random.nextInt(4) > 0 ? 0 : 1 + random.nextInt(5);
-                    events.add(b -> b.response(who, send.id(), attempt, send.server(), verdict, verdict == 0));
+                    int outcome = random.nextInt(4) > 0 ? 0 : 1 + random.nextInt(5);
+                    events.add(b -> b.response(instance, send.id(), attempt, send.server(), outcome, outcome == 0));
                 }
             }
             for (int i = random.nextInt(4); i > 0; i--) {
@@ -95,15 +95,15 @@
                 int classIndex = random.nextInt(classes);
                 int tenant = random.nextInt(2);
                 long key = 1 + random.nextInt(30);
-                events.add(b -> b.request(who, id, classIndex, tenant, key));
+                events.add(b -> b.request(instance, id, classIndex, tenant, key));
             }
             return events;
         }
 
-        private void heard(double now, Action action) {
-            assertNotEquals(1090, action.code(), "a fault");
+        private void onAction(double now, Action action) {
+            assertNotEquals(1090, action.code(), "the module reported a fault");
             if (action.code() == 1020) {
-                toAnswer.add(action);
+                unansweredSends.add(action);
             } else if (action.code() == 1040) {
                 double at = now + action.fields().getDouble(2);
                 timers.computeIfAbsent(at, t -> new ArrayList<>())
@@ -113,14 +113,14 @@
     }
 
     private static double now(int round) {
-        return 7 + round * STEP;
+        return 7 + round * STEP_S;
     }
 
-    /** The events of several in turn, each one's in its own order. */
+    /** Interleaves the events of several instances; the events of one instance keep their order. */
     private static byte[] batch(int round, List<List<Consumer<Batch>>> events) {
         Batch batch = new Batch(now(round));
-        int most = events.stream().mapToInt(List::size).max().orElse(0);
-        for (int i = 0; i < most; i++) {
+        int longest = events.stream().mapToInt(List::size).max().orElse(0);
+        for (int i = 0; i < longest; i++) {
             for (List<Consumer<Batch>> one : events) {
                 if (i < one.size()) {
                     one.get(i).accept(batch);
@@ -130,36 +130,38 @@
         return batch.bytes();
     }
 
-    /** What one did in each round, in bytes. */
-    private static List<String> actions(List<List<Action>> replies, int who) {
+    /** Returns the actions of one instance in each round, as bytes. */
+    private static List<String> actions(List<List<Action>> replies, int instance) {
         return replies.stream()
                 .map(reply -> reply.stream()
-                        .filter(a -> a.who() == who)
+                        .filter(a -> a.instance() == instance)
                         .map(a -> a.code() + ":"
                                 + HexFormat.of().formatHex(a.fields().array()))
                         .reduce("", (all, one) -> all + one + "\n"))
                 .toList();
     }
 
-    private static long sends(Day day) {
-        return day.replies.stream()
+    private static long sends(InstanceRun run) {
+        return run.replies.stream()
                 .flatMap(List::stream)
                 .filter(a -> a.code() == 1020)
                 .count();
     }
 
     @Test
-    void eachAnswersInOneProcessAsAlone() throws IOException {
-        Day pages = new Day(1, Customers.PAGES, 3).play();
-        Day credit = new Day(2, Customers.CREDIT, 1).play();
+    void instancesInOneProcessAnswerAsInSeparateProcesses() throws IOException {
+        InstanceRun pages = new InstanceRun(1, Customers.PAGES, 3).execute();
+        InstanceRun credit = new InstanceRun(2, Customers.CREDIT, 1).execute();
         byte[][] both = new byte[ROUNDS][];
         for (int i = 0; i < ROUNDS; i++) {
-            both[i] = batch(i, List.of(pages.told.get(i), credit.told.get(i)));
+            both[i] = batch(i, List.of(pages.eventsByRound.get(i), credit.eventsByRound.get(i)));
         }
         List<List<Action>> together = AdapterTest.replies(both);
         assertEquals(actions(pages.replies, 1), actions(together, 1));
         assertEquals(actions(credit.replies, 2), actions(together, 2));
-        assertTrue(sends(pages) > 100 && sends(credit) > 100, sends(pages) + " and " + sends(credit) + " show nothing");
+        assertTrue(
+                sends(pages) > 100 && sends(credit) > 100,
+                sends(pages) + " and " + sends(credit) + " sends are too few");
     }
 
     private static Command command(String className) throws MalformedException {
@@ -169,7 +171,7 @@
     }
 
     @Test
-    void eachSettingsAreReadAsAlone() {
+    void settingsOfTwoCustomersAreParsedIndependently() {
         SettingsParser.Parsed pages = SettingsParser.parse(Customers.PAGES);
         SettingsParser.Parsed credit = SettingsParser.parse(Customers.CREDIT);
         assertEquals(pages, SettingsParser.parse(Customers.PAGES));
@@ -180,9 +182,9 @@
         assertEquals(List.of("score"), credit.names().classes());
     }
 
-    /** Two hosts on one loop, as no deployment has them: all that they could share is in the process. */
+    /** Runs two hosts on one event loop, unlike any deployment, so that any shared state of the process would show. */
     @Test
-    void eachHostTakesItsOwnClassesOnly() throws MalformedException {
+    void eachHostAcceptsOnlyItsOwnClasses() throws MalformedException {
         EventLoop loop = new DefaultEventLoop();
         try {
             ModuleHost pages =
