--- a/router/src/main/java/stagepier/bans/Ban.java
+++ b/router/src/main/java/stagepier/bans/Ban.java
@@ -1,10 +1,10 @@
 package stagepier.bans;
 
 /**
- * What staff last said of one cache server.
+ * The latest decision of the operators on one cache server.
  *
- * @param server its id as the list has it
- * @param out    taken out, or put back
- * @param since  when that was said, in Unix time in seconds
+ * @param server its id in the list
+ * @param out    true if it was taken out, false if it was put back
+ * @param since  when that was decided, in Unix time in seconds
  */
 public record Ban(String server, boolean out, double since) {}
--- a/router/src/main/java/stagepier/bans/BanFiles.java
+++ b/router/src/main/java/stagepier/bans/BanFiles.java
@@ -21,68 +21,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Bans in the folder that this process shares with the one before it and the one after it: a small file a server, written
- * whole and renamed, so that neither locks nor an order of writers are needed. The folder is in memory: reading it does
- * not block.
+ * Stores bans in the folder that this process shares with its predecessor and its successor. Each server has a small
+ * file that is written completely and renamed into place, so that neither locks nor an order of writers are needed. The
+ * folder is in memory: reading it does not block.
  */
 public final class BanFiles {
     private static final Logger LOG = LoggerFactory.getLogger(BanFiles.class);
     private static final String FOLDER = "stagepier-bans-1";
-    private static final String END = ".ban";
-    /** End of the name of a file that is being written; one that a kill left behind is never read. */
-    private static final String PART = ".part";
+    private static final String SUFFIX = ".ban";
+    /** Suffix of files that are being written. A file left behind by a killed process is never read. */
+    private static final String PART_SUFFIX = ".part";
 
-    private static final Pattern FORM =
+    private static final Pattern FORMAT =
             Pattern.compile("stagepier ban 1 (out|back) ([0-9]{1,12}\\.[0-9]{6}) ([!-~]{1,128})\n");
-    private static final int LARGEST = 256;
-    /** A folder that changed less than this before it was read may change again within the same time stamp. */
-    private static final long STAMP_MS = 100;
+    private static final int MAX_FILE_BYTES = 256;
+    /** If the folder was modified less than this before it was read, a later change may carry the same time stamp. */
+    private static final long TIMESTAMP_RESOLUTION_MS = 100;
 
     private final Path folder;
-    private final Set<Path> complained = new HashSet<>();
-    /** Bans that could not be written yet, the last of each server. */
-    private final Map<String, Ban> unwritten = new LinkedHashMap<>();
+    private final Set<Path> reportedFiles = new HashSet<>();
+    /** The latest ban of each server that could not be written yet. */
+    private final Map<String, Ban> pendingWrites = new LinkedHashMap<>();
 
-    private FileTime readAs;
-    private boolean readLate;
+    private FileTime lastReadModified;
+    private boolean lastReadSettled;
 
-    /** @param shared the folder that processes share; bans are in one of their own in it, made with the first */
+    /** @param shared the folder that processes share; bans are in a subfolder, which is created with the first ban */
     public BanFiles(Path shared) {
         folder = shared.resolve(FOLDER);
     }
 
-    /** Keeps it for other processes; where that cannot be now, as soon as it can. Returns whether it is kept. */
+    /** Writes a ban for other processes, with retries if that fails now. Returns whether it was written. */
     public boolean save(Ban ban) {
-        unwritten.remove(ban.server());
+        pendingWrites.remove(ban.server());
         try {
             write(ban);
             return true;
         } catch (IOException e) {
-            LOG.warn("a ban is not kept for other processes yet: {}", e.toString());
-            unwritten.put(ban.server(), ban);
+            LOG.warn("cannot write a ban for other processes: {}; retrying", e.toString());
+            pendingWrites.put(ban.server(), ban);
             return false;
         }
     }
 
-    /** Writes what could not be written before, unless another process has said something newer since. */
-    private void writeAgain() {
-        for (Ban ban : List.copyOf(unwritten.values())) {
+    /** Writes bans that could not be written before, unless another process has written a newer one. */
+    private void retryPendingWrites() {
+        for (Ban ban : List.copyOf(pendingWrites.values())) {
             try {
-                Ban kept = read(file(ban.server()));
-                if (kept == null || kept.since() < ban.since()) {
+                Ban stored = read(file(ban.server()));
+                if (stored == null || stored.since() < ban.since()) {
                     write(ban);
                 }
-                unwritten.remove(ban.server());
-                LOG.info("a ban is kept for other processes now: {}", ban.server());
+                pendingWrites.remove(ban.server());
+                LOG.info("wrote the pending ban for other processes: {}", ban.server());
             } catch (IOException e) {
-                LOG.debug("a ban is still not kept: {}", e.toString());
+                LOG.debug("still cannot write a ban for other processes: {}", e.toString());
             }
         }
     }
 
     private void write(Ban ban) throws IOException {
         Files.createDirectories(folder);
-        Path part = Files.createTempFile(folder, "part", PART);
+        Path part = Files.createTempFile(folder, "part", PART_SUFFIX);
         try {
             Files.writeString(
                     part,
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Drops what has no more meaning, unless another process has said something since. */
+    /** Deletes an expired ban, unless another process has written a newer one. */
     public void delete(Ban ban) {
         try {
             Path file = file(ban.server());
@@ -106,22 +106,22 @@
                 Files.deleteIfExists(file);
             }
         } catch (IOException e) {
-            LOG.debug("a ban that is over stays: {}", e.toString());
+            LOG.debug("cannot delete the file of an expired ban: {}", e.toString());
         }
     }
 
-    /** All bans that are kept, if any may be new since this was asked last; none otherwise. */
+    /** Returns all stored bans if any of them may have changed since the last call; an empty list otherwise. */
     public List<Ban> readChanges() {
-        writeAgain();
+        retryPendingWrites();
         List<Ban> all = new ArrayList<>();
         try {
-            FileTime changed = Files.getLastModifiedTime(folder);
-            if (changed.equals(readAs) && readLate) {
+            FileTime modified = Files.getLastModifiedTime(folder);
+            if (modified.equals(lastReadModified) && lastReadSettled) {
                 return all;
             }
-            readAs = changed;
-            readLate = System.currentTimeMillis() - changed.toMillis() > STAMP_MS;
-            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + END)) {
+            lastReadModified = modified;
+            lastReadSettled = System.currentTimeMillis() - modified.toMillis() > TIMESTAMP_RESOLUTION_MS;
+            try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SUFFIX)) {
                 for (Path file : files) {
                     Ban ban = read(file);
                     if (ban != null) {
@@ -132,18 +132,20 @@
         } catch (NoSuchFileException e) {
             return all;
         } catch (IOException | java.nio.file.DirectoryIteratorException e) {
-            // Read again next time, though nothing in the folder may change until then.
-            readAs = null;
-            LOG.warn("bans cannot be read: {}", e.toString());
+            // Makes the next call read again even if the folder does not change until then.
+            lastReadModified = null;
+            LOG.warn("cannot read the ban files: {}; retrying", e.toString());
         }
         return all;
     }
 
-    /** The ban in a file, or null where there is none; what is torn or foreign is told once and ignored. */
+    /**
+     * Returns the ban in a file, or null if there is none. Incomplete and foreign files are logged once and ignored.
+     */
     private Ban read(Path file) throws IOException {
         try {
-            if (Files.size(file) <= LARGEST) {
-                Matcher m = FORM.matcher(Files.readString(file, StandardCharsets.ISO_8859_1));
+            if (Files.size(file) <= MAX_FILE_BYTES) {
+                Matcher m = FORMAT.matcher(Files.readString(file, StandardCharsets.ISO_8859_1));
                 if (m.matches() && file.equals(file(m.group(3)))) {
                     return new Ban(m.group(3), m.group(1).equals("out"), Double.parseDouble(m.group(2)));
                 }
@@ -151,18 +153,18 @@
         } catch (NoSuchFileException e) {
             return null;
         }
-        if (complained.add(file)) {
-            LOG.warn("{} is no ban of this version and is ignored", file.getFileName());
+        if (reportedFiles.add(file)) {
+            LOG.warn("ignoring {}: not a ban file of this version", file.getFileName());
         }
         return null;
     }
 
-    /** Ids may hold what file names may not. */
+    /** Returns the file of a server, with the characters escaped that file names may not contain. */
     private Path file(String server) {
         StringBuilder name = new StringBuilder();
         for (char c : server.toCharArray()) {
             name.append(Character.isLetterOrDigit(c) || c == '-' ? String.valueOf(c) : "_%02x".formatted((int) c));
         }
-        return folder.resolve(name + END);
+        return folder.resolve(name + SUFFIX);
     }
 }
--- a/router/src/main/java/stagepier/bans/Bans.java
+++ b/router/src/main/java/stagepier/bans/Bans.java
@@ -6,60 +6,63 @@
 import java.util.Map;
 
 /**
- * Cache servers that staff took out or put back. What was said last of a server holds, whichever process heard it. Free of
- * I/O and clock.
+ * Cache servers that operators took out or put back. The latest decision on a server is in force, whichever process
+ * received it. Does no I/O and reads no clock.
  */
 public final class Bans {
     /**
-     * Seconds for which it is remembered that a server was put back: longer than any warm-up, so that every process counts
-     * it as started then.
+     * Seconds for which the restoration of a server is remembered: longer than any warm-up, so that every process
+     * counts the server as started then.
      */
-    public static final double BACK_REMEMBERED = 120;
+    public static final double RESTORED_RETENTION_S = 120;
 
-    private final Map<String, Ban> said = new LinkedHashMap<>();
+    private final Map<String, Ban> latest = new LinkedHashMap<>();
 
-    /** Whether the server is out. */
+    /** Returns whether the server is out. */
     public boolean isBanned(String server) {
-        Ban last = said.get(server);
+        Ban last = latest.get(server);
         return last != null && last.out();
     }
 
-    /** When the server was put back, in Unix time in seconds; 0 where it was not, or long ago. */
-    public double backSince(String server) {
-        Ban last = said.get(server);
+    /** Returns when the server was put back, in Unix time in seconds; 0 if it was not, or long ago. */
+    public double restoredAt(String server) {
+        Ban last = latest.get(server);
         return last == null || last.out() ? 0 : last.since();
     }
 
-    /** When something said now is said: after all that was said before of that server, and to the microsecond, as it is kept. */
+    /**
+     * Returns the time stamp of a decision made now: after all earlier decisions on that server, and rounded to
+     * microseconds, as it is stored.
+     */
     public double stamp(String server, double now) {
-        Ban last = said.get(server);
+        Ban last = latest.get(server);
         return Math.rint((last == null ? now : Math.max(now, last.since() + 1e-3)) * 1e6) / 1e6;
     }
 
-    /** Takes what was said, here or elsewhere; returns whether it is news. */
+    /** Applies a decision made in this or another process; returns whether it is newer than the one in force. */
     public boolean take(Ban ban) {
-        Ban last = said.get(ban.server());
+        Ban last = latest.get(ban.server());
         if (last != null && (last.since() > ban.since() || last.equals(ban))) {
             return false;
         }
-        said.put(ban.server(), ban);
+        latest.put(ban.server(), ban);
         return true;
     }
 
-    /** Forgets who is back for long, and returns these. Guards against memory that grows with every server ever put back. */
+    /** Removes and returns the servers that were put back long ago, which would otherwise use memory for ever. */
     public List<Ban> forget(double now) {
-        List<Ban> old = new ArrayList<>();
-        for (Ban ban : said.values()) {
-            if (!ban.out() && now - ban.since() > BACK_REMEMBERED) {
-                old.add(ban);
+        List<Ban> expired = new ArrayList<>();
+        for (Ban ban : latest.values()) {
+            if (!ban.out() && now - ban.since() > RESTORED_RETENTION_S) {
+                expired.add(ban);
             }
         }
-        old.forEach(ban -> said.remove(ban.server()));
-        return old;
+        expired.forEach(ban -> latest.remove(ban.server()));
+        return expired;
     }
 
-    /** How many servers are out. */
+    /** Returns how many servers are out. */
     public int out() {
-        return (int) said.values().stream().filter(Ban::out).count();
+        return (int) latest.values().stream().filter(Ban::out).count();
     }
 }
--- a/router/src/main/java/stagepier/discovery/Admission.java
+++ b/router/src/main/java/stagepier/discovery/Admission.java
@@ -1,14 +1,17 @@
 package stagepier.discovery;
 
-/** Says whether a change of the list that breaks no rule by coming late may be taken up now. On the event loop. */
+/**
+ * Decides whether a change of the server list may be applied now. Called only for changes that may be delayed without
+ * breaking a rule. On the event loop.
+ */
 public interface Admission {
     /**
-     * @param old   the entry that counts, or null where the server is none of those that count
-     * @param fresh the entry as the list now has it: a server that is up
-     * @return false where the change is held; it may come later by {@link HostGroup#admit}
+     * @param old   the entry in force, or null if the server has none
+     * @param fresh the entry in the new list, for a server that is up
+     * @return false if the change is held; it may be applied later by {@link HostGroup#admit}
      */
     boolean admits(HostGroup.Host old, HostGroup.Host fresh);
 
-    /** What may be held of that server is of no use any more: the list has said something newer. */
+    /** Drops a held change of this server, because the list has a newer entry for it. */
     void overtaken(String server);
 }
--- a/router/src/main/java/stagepier/discovery/Backoff.java
+++ b/router/src/main/java/stagepier/discovery/Backoff.java
@@ -3,38 +3,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between tries that grow, each by chance anywhere in its span from a least part of it on. Guards against many routers that lost the same service
- * at once and would all come back to it in step.
+ * Exponential back-off with random jitter: each delay is drawn uniformly between a minimum fraction of the current span
+ * and the whole span. The jitter prevents many routers that lost the same service at once from reconnecting in step.
  */
 final class Backoff {
     private final int firstMs;
-    private final int mostMs;
-    private final double leastPart;
+    private final int maxMs;
+    private final double minFraction;
     private final RandomGenerator random;
     private int spanMs;
 
-    Backoff(int firstMs, int mostMs, RandomGenerator random) {
-        this(firstMs, mostMs, 0, random);
+    Backoff(int firstMs, int maxMs, RandomGenerator random) {
+        this(firstMs, maxMs, 0, random);
     }
 
-    /** @param leastPart of each span, from 0 to under 1, that is always waited */
-    Backoff(int firstMs, int mostMs, double leastPart, RandomGenerator random) {
-        this.leastPart = leastPart;
+    /** @param minFraction fraction of each span, from 0 to below 1, that is always waited */
+    Backoff(int firstMs, int maxMs, double minFraction, RandomGenerator random) {
+        this.minFraction = minFraction;
         this.firstMs = firstMs;
-        this.mostMs = mostMs;
+        this.maxMs = maxMs;
         this.random = random;
         spanMs = firstMs;
     }
 
-    /** Milliseconds to wait now; the span doubles. */
+    /** Returns the next delay in milliseconds and doubles the span. */
     int next() {
-        int least = (int) (leastPart * spanMs);
-        int wait = least + 1 + random.nextInt(spanMs - least);
-        spanMs = Math.min(mostMs, spanMs * 2);
-        return wait;
+        int minMs = (int) (minFraction * spanMs);
+        int delayMs = minMs + 1 + random.nextInt(spanMs - minMs);
+        spanMs = Math.min(maxMs, spanMs * 2);
+        return delayMs;
     }
 
-    /** A try went well. */
+    /** Restarts from the first span after a successful attempt. */
     void reset() {
         spanMs = firstMs;
     }
--- a/router/src/main/java/stagepier/discovery/DiscoveryConnector.java
+++ b/router/src/main/java/stagepier/discovery/DiscoveryConnector.java
@@ -18,63 +18,66 @@
 import java.util.function.Supplier;
 import stagepier.link.Sockets;
 
-/** Opens HTTP connections to discovery and writes its requests. Holds no connection itself. */
+/** Opens HTTP connections to discovery and writes its requests. Does not own the connections. */
 final class DiscoveryConnector {
     private static final String PATH = "/discovery/hosts";
-    private static final int LARGEST_LIST = 1 << 20;
+    private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final EventLoop loop;
-    private final int connectWithinMs;
-    private final Supplier<ChannelHandler> pieces;
-    private final Supplier<ChannelHandler> answers;
+    private final int connectTimeoutMs;
+    private final Supplier<ChannelHandler> byteHandlers;
+    private final Supplier<ChannelHandler> responseHandlers;
 
     /**
-     * @param connectWithinMs after which a connection that is not up has failed
-     * @param pieces          sees all bytes of a connection as they come
-     * @param answers         is given whole responses
+     * @param connectTimeoutMs timeout after which a connection attempt has failed
+     * @param byteHandlers     supplies the handler that sees the bytes of a connection as they arrive
+     * @param responseHandlers supplies the handler that is given complete responses
      */
     DiscoveryConnector(
-            EventLoop loop, int connectWithinMs, Supplier<ChannelHandler> pieces, Supplier<ChannelHandler> answers) {
+            EventLoop loop,
+            int connectTimeoutMs,
+            Supplier<ChannelHandler> byteHandlers,
+            Supplier<ChannelHandler> responseHandlers) {
         this.loop = loop;
-        this.connectWithinMs = connectWithinMs;
-        this.pieces = pieces;
-        this.answers = answers;
+        this.connectTimeoutMs = connectTimeoutMs;
+        this.byteHandlers = byteHandlers;
+        this.responseHandlers = responseHandlers;
     }
 
     /**
-     * Begins to connect.
+     * Starts to connect.
      *
-     * @throws io.netty.channel.ChannelException where the system has no socket now
+     * @throws io.netty.channel.ChannelException if the system cannot open a socket now
      */
     ChannelFuture connect(InetSocketAddress address) {
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(Sockets.connecting())
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectWithinMs)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel own) {
-                        own.pipeline()
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
                                 .addLast(
-                                        pieces.get(),
+                                        byteHandlers.get(),
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(LARGEST_LIST),
-                                        answers.get());
+                                        new HttpObjectAggregator(MAX_LIST_BYTES),
+                                        responseHandlers.get());
                     }
                 })
                 .connect(address);
     }
 
-    /** Asks for the whole list. */
+    /** Requests the whole list. */
     static void requestList(Channel to, InetSocketAddress address) {
         request(to, address, PATH);
     }
 
     /**
-     * Asks for the changes since a version.
+     * Requests the changes since a version.
      *
-     * @param holdMs for how long the agent may wait for one, in milliseconds
+     * @param holdMs how long the agent may hold the request while there is no change, in milliseconds
      */
     static void requestChanges(Channel to, InetSocketAddress address, long generation, int holdMs) {
         request(to, address, PATH + "?from=" + generation + "&hold_ms=" + holdMs);
--- a/router/src/main/java/stagepier/discovery/DiscoveryWatch.java
+++ b/router/src/main/java/stagepier/discovery/DiscoveryWatch.java
@@ -25,443 +25,469 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a watch on discovery: the next call follows the last answer at once, and a call that failed or had no
- * answer is made again on a new connection, each time after a longer wait. How long it waits for what is told by
- * {@link WatchTimes}. Owns its connections and timers: at most one connection that watches, and one that is to take over
- * from it.
+ * Watches discovery by long poll: each call follows the last response at once, and a call that failed or got no
+ * response is repeated on a new connection, with exponential back-off. {@link WatchTimes} holds the timeouts. Owns its
+ * connections and timers: at most one connection that watches, and one that is to replace it.
  *
- * <p>The worst chain after a failed, refused or silent call, against the 6 s after which a change counts as told whether or
- * not it arrived, in milliseconds. At an agent, with a drain grace of a second or more: the open call is given up after hold
- * and slack, 4000; pause 250; a connection that does not come up or, once up, is silent (300 + 300); pause 250; connection
- * 300 and answer 300 of the one that counts: 5700. At a shared service: the open call is given up after 3000; pause 400;
- * connection 300, turned away; pause 800; connection 300; then the answer, with 1200 left for its turn. An answer that comes
- * bit by bit is in the same chain: when its call is due a second connection asks anew beside it, and whichever is whole
- * first counts. After a reload: an agent with an older list is asked again until {@link #BEHIND_MS} are over, and then once
- * more for its whole list, of the 4 s after which what it has counts.
+ * <p>A change is deemed known 6 s after discovery had it, whether or not it arrived here. The longest sequences after a
+ * failed, refused or silent call have to fit into that, in milliseconds. With an agent and a drain grace of one second
+ * or more: the pending call is given up after hold and slack, 4000; retry delay 250; a connection that fails, or is
+ * established and then silent (300 + 300); retry delay 250; connect 300 and response 300 of the one that succeeds:
+ * 5700. With a shared service: the pending call is given up after 3000; retry delay 400; connect 300, call rejected;
+ * retry delay 800; connect 300; then the response, which has 1200 left for its turn in the queue. A response that
+ * arrives in small pieces fits the same sequence: when its call is overdue, a second connection repeats the call in
+ * parallel, and the first complete response is used. After a reload, an agent with an older list is asked again until
+ * {@link #CATCH_UP_MS} have passed, then once more for its whole list; its list is deemed known 4 s after the reload.
  */
 public final class DiscoveryWatch {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
-    /** The wait of a call that asks what there is now. */
-    private static final int NOW_MS = 1;
-    /** Between two pieces of an answer; the whole of it has the time of its call before another is asked beside it. */
-    private static final int PIECES_WITHIN_MS = 1000;
-    /** So long after a move an agent with an older version is behind and may catch up; what it has counts 4 s after. */
-    private static final int BEHIND_MS = 3300;
+    /** Hold time of a call that asks for the current list, in milliseconds. */
+    private static final int NO_HOLD_MS = 1;
+    /**
+     * Longest gap between two reads of a response. The whole response has the time of its call before a parallel call
+     * is sent.
+     */
+    private static final int READ_TIMEOUT_MS = 1000;
+    /**
+     * Time after an address change during which an agent with an older version is allowed to catch up. What that agent
+     * has is deemed known 4 s after the change.
+     */
+    private static final int CATCH_UP_MS = 3300;
 
     private final EventLoop loop;
     private final DiscoveryConnector connector;
     private final WatchTimes times;
     private final HostGroup group;
-    private final Consumer<HostGroup.Change> changed;
-    private final Runnable failed;
+    private final Consumer<HostGroup.Change> onChange;
+    private final Runnable onFailure;
     private InetSocketAddress address;
-    /** The one that watches; null while there is none. */
+    /** The connection that watches; null if there is none. */
     private Channel channel;
 
-    private Future<?> callTimer;
-    /** When it is due another asks beside a call that is answered bit by bit. */
-    private Future<?> wholeTimer;
-    /** The one that is coming up, or asks beside a call that is late, and then takes over; null while none is. */
-    private Channel connecting;
-    /** Of the call beside; null while there is none. */
-    private Future<?> besideTimer;
-    /** The version from which the call beside asks. */
-    private long besideFrom;
-    /** It was asked after whoever waits for the list to be fresh began to. */
-    private boolean besideAsksNow;
-    /** No connection to the address has been up since it changed. */
-    private boolean moved;
-    /** Pending while an agent with an older version may be behind; null before any move. */
-    private ScheduledFuture<?> behindTimer;
-    /** The agent's changes do not follow on the list here: the next call asks for the whole of it. */
-    private boolean asksWhole;
+    private Future<?> readTimer;
+    /** Fires when a call has no complete response yet and a parallel call is due. */
+    private Future<?> responseTimer;
+    /**
+     * The connection that is being established, or carries a call in parallel to an overdue one, and then replaces the
+     * watching one; null if there is none.
+     */
+    private Channel nextChannel;
+    /** Timeout of the overlapping call; null if there is none. */
+    private Future<?> overlappingCallTimer;
+    /** The list version from which the overlapping call asks. */
+    private long overlappingCallGeneration;
+    /** Whether the overlapping call was sent after the current waiters for a fresh list were added. */
+    private boolean overlappingCallAsksCurrent;
+    /** Whether no connection has been established since the address changed. */
+    private boolean addressChanged;
+    /** Pending while an agent with an older version may still be behind; null before any address change. */
+    private ScheduledFuture<?> catchUpTimer;
+    /** Whether the next call requests the whole list, because the agent's changes do not follow the list held here. */
+    private boolean requestsFullList;
 
     private Future<?> retryTimer;
     private final RandomGenerator random;
     private final Backoff backoff;
-    /** The agent has said what there was at a moment, and has had a call open for what came after. */
+    /** Whether the agent has reported its list as of some moment and has had a call pending for later changes since. */
     private boolean isFresh;
-    /** A call has been made that has no whole answer yet. */
-    private boolean isOpen;
-    /** That call is to say what there is now. */
-    private boolean asksNow;
+    /** Whether a call has been sent that has no complete response yet. */
+    private boolean callPending;
+    /** Whether the pending call asks for the current list. */
+    private boolean callAsksCurrent;
 
-    private final FreshListWaiters waitersForFresh;
-    private final FreshListWaiters waitersForFirst;
+    private final FreshListWaiters freshListWaiters;
+    private final FreshListWaiters firstListWaiters;
 
-    private boolean begun;
+    private boolean started;
     private boolean stopped;
     private long calls;
     private long failures;
-    /** Since the last answer that was taken. */
-    private long failuresInARow;
+    /** Failures since the last accepted response. */
+    private long consecutiveFailures;
 
     /**
-     * @param times   how long it waits for what
-     * @param changed is told of each answer, and so of those as well that change nothing
-     * @param failed  is told of each try that failed
+     * @param times     timeouts and delays
+     * @param onChange  called for each response, including those that change nothing
+     * @param onFailure called for each failed attempt
      */
     public DiscoveryWatch(
             EventLoop loop,
             InetSocketAddress address,
             WatchTimes times,
             HostGroup group,
-            Consumer<HostGroup.Change> changed,
-            Runnable failed,
+            Consumer<HostGroup.Change> onChange,
+            Runnable onFailure,
             RandomGenerator random) {
-        backoff = new Backoff(times.retryFirst(), times.retryMost(), times.retryLeast(), random);
+        backoff = new Backoff(times.firstRetryMs(), times.maxRetryMs(), times.minRetryFraction(), random);
         this.times = times;
         this.random = random;
         this.loop = loop;
-        connector = new DiscoveryConnector(loop, times.connectWithin(), Pieces::new, Answers::new);
-        waitersForFresh = new FreshListWaiters(loop, times.freshWithin(), this::readNow);
-        waitersForFirst = new FreshListWaiters(loop, times.firstWithin(), this::readNow);
+        connector =
+                new DiscoveryConnector(loop, times.connectTimeoutMs(), ReadActivityHandler::new, ResponseHandler::new);
+        freshListWaiters = new FreshListWaiters(loop, times.freshTimeoutMs(), this::readNow);
+        firstListWaiters = new FreshListWaiters(loop, times.firstListTimeoutMs(), this::readNow);
         this.address = address;
         this.group = group;
-        this.changed = changed;
-        this.failed = failed;
+        this.onChange = onChange;
+        this.onFailure = onFailure;
     }
 
-    /** Begins the watch from the list that the group has. */
+    /** Starts the watch from the list that the group has. */
     public void start() {
-        begun = true;
+        started = true;
         ChannelFuture connect;
         try {
             connect = connector.connect(address);
         } catch (ChannelException e) {
-            again("no socket: " + e.getMessage());
+            scheduleRetry("cannot open a socket: " + e.getMessage());
             return;
         }
-        connecting = connect.channel();
+        nextChannel = connect.channel();
         connect.addListener(done -> {
-            if (!done.isSuccess() && connect.channel() == connecting) {
-                connecting = null;
-                again("no connection: " + done.cause().getMessage());
+            if (!done.isSuccess() && connect.channel() == nextChannel) {
+                nextChannel = null;
+                scheduleRetry("cannot connect: " + done.cause().getMessage());
             }
         });
     }
 
     /**
-     * Goes on at another address. Guards against a gap: the old watch goes on until a connection to the new address
-     * is up, and the call on that one begins where the old one ended.
+     * Continues at another address. Avoids a gap: the old watch continues until a connection to the new address is
+     * established, and the call on that one starts from the version that the old one reached.
      */
     public void moveTo(InetSocketAddress to) {
         if (stopped || to.equals(address)) {
             return;
         }
         address = to;
-        if (!begun) {
-            // It begins there.
+        if (!started) {
+            // The watch has not started yet and will use the new address.
             return;
         }
         isFresh = false;
-        moved = true;
-        if (behindTimer != null) {
-            behindTimer.cancel(false);
+        addressChanged = true;
+        if (catchUpTimer != null) {
+            catchUpTimer.cancel(false);
         }
-        behindTimer = loop.schedule(() -> {}, BEHIND_MS, TimeUnit.MILLISECONDS);
+        catchUpTimer = loop.schedule(() -> {}, CATCH_UP_MS, TimeUnit.MILLISECONDS);
         backoff.reset();
-        dropConnecting();
+        closeNextChannel();
         start();
     }
 
     public void stop() {
         stopped = true;
-        dropConnecting();
-        dropWatch();
+        closeNextChannel();
+        closeChannel();
         releaseWaiters();
     }
 
     /**
-     * Begins the watch, and runs that once it has the list as it is now, but no later than {@link WatchTimes#firstWithin} from now.
-     * Guards against a process that is slow as it begins, and would decide by the list of its configuration.
+     * Starts the watch and runs the callback once the current list is known, but no later than
+     * {@link WatchTimes#firstListTimeoutMs} from now. A process that starts slowly would otherwise decide by the list
+     * in its configuration.
      */
-    public void start(Runnable then) {
-        waitersForFirst.add(then);
+    public void start(Runnable callback) {
+        firstListWaiters.add(callback);
         start();
     }
 
     private void releaseWaiters() {
-        waitersForFresh.release();
-        waitersForFirst.release();
+        freshListWaiters.release();
+        firstListWaiters.release();
     }
 
     /**
-     * Takes what the agent has told by now, and runs that once nothing is left to be told, which is at once where the open
-     * call has no answer yet; but no later than {@link WatchTimes#freshWithin} from now.
+     * Processes what the agent has sent by now and runs the callback once the list is known to be fresh. That is at
+     * once if the pending call has no response yet, and no later than {@link WatchTimes#freshTimeoutMs} from now.
      */
-    public void refresh(Runnable then) {
-        waitersForFresh.add(then);
-        boolean waits = isFresh && isOpen;
+    public void refresh(Runnable callback) {
+        freshListWaiters.add(callback);
+        boolean canAnswerAtOnce = isFresh && callPending;
         long before = calls;
-        // An answer that is there by now may be an old one, whatever was asked for.
+        // A response that has arrived by now may be an old one, whatever its call asked for.
         isFresh = false;
-        asksNow = false;
-        besideAsksNow = false;
+        callAsksCurrent = false;
+        overlappingCallAsksCurrent = false;
         readNow();
-        if (waits && calls == before && channel != null && channel.isActive()) {
+        if (canAnswerAtOnce && calls == before && channel != null && channel.isActive()) {
             isFresh = true;
-            waitersForFresh.release();
+            freshListWaiters.release();
         }
     }
 
-    /** Reads what has come by this moment, without waiting to be told of it. */
+    /** Reads what has arrived by now without waiting for the selector. */
     private void readNow() {
         if (channel != null && channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
     }
 
-    /** An answer that comes in pieces is not silent. Guards against one that is given up and asked for over and over. */
-    private final class Pieces extends ChannelInboundHandlerAdapter {
+    /**
+     * Restarts the read timeout for each piece of a response. A slow response would otherwise be given up and requested
+     * again without end.
+     */
+    private final class ReadActivityHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (ctx.channel() == channel) {
-                within(PIECES_WITHIN_MS);
+                restartReadTimer(READ_TIMEOUT_MS);
             }
             ctx.fireChannelRead(message);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (ctx.channel() != connecting) {
+            if (ctx.channel() != nextChannel) {
                 return;
             }
-            if (channel != null && !moved) {
-                askBeside();
+            if (channel != null && !addressChanged) {
+                sendOverlappingCall();
                 return;
             }
-            // Guards against a wait on a new agent that has not yet said what there is: the old one may have, after the
-            // move.
-            isFresh &= !moved;
-            moved = false;
-            takeOver();
-            call();
+            // The new agent may not have reported its list yet. A fresh state from the old agent must not be kept after
+            // an address change.
+            isFresh &= !addressChanged;
+            addressChanged = false;
+            switchToNextChannel();
+            sendCall();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            if (ctx.channel() == connecting) {
-                answeredBeside(response);
+            if (ctx.channel() == nextChannel) {
+                onOverlappingResponse(response);
             } else if (ctx.channel() == channel) {
-                answered(response);
+                onResponse(response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
-                failed("the connection ended");
-            } else if (ctx.channel() == connecting) {
-                failedBeside("the connection ended");
+                watchFailed("connection closed");
+            } else if (ctx.channel() == nextChannel) {
+                onOverlappingFailure("connection closed");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (ctx.channel() == channel) {
-                failed(cause.toString());
-            } else if (ctx.channel() == connecting) {
-                failedBeside(cause.toString());
+                watchFailed(cause.toString());
+            } else if (ctx.channel() == nextChannel) {
+                onOverlappingFailure(cause.toString());
             }
         }
     }
 
-    private void call() {
+    private void sendCall() {
         calls++;
-        isOpen = true;
-        asksNow = !isFresh && times.asksFirst();
-        int hold = asksNow ? NOW_MS : times.hold() - random.nextInt(times.holdSpread());
-        write(channel, hold);
-        int most = asksNow ? times.listWithin() : hold + times.slack();
-        within(most);
+        callPending = true;
+        callAsksCurrent = !isFresh && times.currentListFirst();
+        int holdMs = callAsksCurrent ? NO_HOLD_MS : times.holdMs() - random.nextInt(times.holdSpreadMs());
+        writeRequest(channel, holdMs);
+        int timeoutMs = callAsksCurrent ? times.listTimeoutMs() : holdMs + times.slackMs();
+        restartReadTimer(timeoutMs);
         long call = calls;
-        wholeTimer = loop.schedule(() -> late(call), most, TimeUnit.MILLISECONDS);
+        responseTimer = loop.schedule(() -> onCallOverdue(call), timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    private void write(Channel to, int hold) {
-        if (group.generation() < 0 || asksWhole) {
+    private void writeRequest(Channel to, int holdMs) {
+        if (group.generation() < 0 || requestsFullList) {
             DiscoveryConnector.requestList(to, address);
         } else {
-            DiscoveryConnector.requestChanges(to, address, group.generation(), hold);
+            DiscoveryConnector.requestChanges(to, address, group.generation(), holdMs);
         }
     }
 
-    /** Guards against an agent that answers a byte now and then and so holds the watch on an old list for good. */
-    private void late(long call) {
+    /**
+     * Starts a second connection when a call is overdue. An agent that sends a byte now and then would otherwise keep
+     * the watch on an old list permanently.
+     */
+    private void onCallOverdue(long call) {
         readNow();
-        if (calls == call && isOpen) {
-            goOn(this::start);
+        if (calls == call && callPending) {
+            unlessReconnecting(this::start);
         }
     }
 
-    /** Asks what there is now beside a call that is being answered slowly. */
-    private void askBeside() {
+    /** Asks for the current list in parallel to a call that is answered slowly. */
+    private void sendOverlappingCall() {
         calls++;
-        besideFrom = group.generation();
-        besideAsksNow = true;
-        write(connecting, NOW_MS);
-        besideTimer =
-                loop.schedule(() -> failedBeside("no whole answer in time"), times.listWithin(), TimeUnit.MILLISECONDS);
+        overlappingCallGeneration = group.generation();
+        overlappingCallAsksCurrent = true;
+        writeRequest(nextChannel, NO_HOLD_MS);
+        overlappingCallTimer = loop.schedule(
+                () -> onOverlappingFailure("no complete response within the timeout"),
+                times.listTimeoutMs(),
+                TimeUnit.MILLISECONDS);
     }
 
-    private void answeredBeside(FullHttpResponse response) {
-        if (besideFrom != group.generation()) {
-            // Guards against changes that follow on a list which is no longer the one here.
-            failedBeside("overtaken");
+    private void onOverlappingResponse(FullHttpResponse response) {
+        if (overlappingCallGeneration != group.generation()) {
+            // These changes follow a list that is no longer the one held here.
+            onOverlappingFailure("the list changed before the response arrived");
             return;
         }
-        takeOver();
-        asksNow = besideAsksNow;
-        answered(response);
+        switchToNextChannel();
+        callAsksCurrent = overlappingCallAsksCurrent;
+        onResponse(response);
     }
 
-    private void failedBeside(String why) {
-        dropConnecting();
-        again(why);
+    private void onOverlappingFailure(String reason) {
+        closeNextChannel();
+        scheduleRetry(reason);
     }
 
-    /** The connection that came up is the one that watches. */
-    private void takeOver() {
-        Channel next = connecting;
-        connecting = null;
-        cancelBeside();
-        dropWatch();
+    /** Makes the new connection the one that watches. */
+    private void switchToNextChannel() {
+        Channel next = nextChannel;
+        nextChannel = null;
+        cancelOverlappingCallTimer();
+        closeChannel();
         channel = next;
     }
 
-    private void cancelBeside() {
-        if (besideTimer != null) {
-            besideTimer.cancel(false);
-            besideTimer = null;
+    private void cancelOverlappingCallTimer() {
+        if (overlappingCallTimer != null) {
+            overlappingCallTimer.cancel(false);
+            overlappingCallTimer = null;
         }
     }
 
-    /** Something has to come on the connection within that time. */
-    private void within(int ms) {
-        if (callTimer != null) {
-            callTimer.cancel(false);
+    /** Restarts the timer within which data has to arrive on the connection. */
+    private void restartReadTimer(int ms) {
+        if (readTimer != null) {
+            readTimer.cancel(false);
         }
-        callTimer = loop.schedule(this::due, ms, TimeUnit.MILLISECONDS);
+        readTimer = loop.schedule(this::onReadTimeout, ms, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * The agent may have answered in time. Guards against a process that stood still: the first thing that it does is to
-     * look at its timers, and a call would be given up with its answer unread.
+     * Handles a read timeout. The agent may have answered in time: a process that was suspended runs its timers before
+     * it reads its sockets, and would give the call up with the response unread.
      */
-    private void due() {
-        Future<?> timer = callTimer;
+    private void onReadTimeout() {
+        Future<?> timer = readTimer;
         readNow();
-        if (callTimer == timer) {
-            failed("no answer in time");
+        if (readTimer == timer) {
+            watchFailed("no response within the timeout");
         }
     }
 
-    private void answered(FullHttpResponse response) {
+    private void onResponse(FullHttpResponse response) {
         cancelCallTimers();
-        isOpen = false;
+        callPending = false;
         HostGroup.Change change;
         try {
             if (response.status().code() != 200 || response.decoderResult().isFailure()) {
-                throw new IllegalArgumentException("status " + response.status());
+                throw new IllegalArgumentException("HTTP status " + response.status());
             }
             JsonElement message = JsonParser.parseString(response.content().toString(StandardCharsets.UTF_8));
-            if (group.goesBack(message, mayBeBehind())) {
-                asksWhole = !mayBeBehind();
-                throw new IllegalArgumentException("its version goes back");
+            if (group.isOutdated(message, mayBeBehind())) {
+                requestsFullList = !mayBeBehind();
+                throw new IllegalArgumentException("the version of the list is older than the current one");
             }
             change = group.applyFresh(message);
         } catch (IllegalArgumentException | JsonParseException e) {
-            // The last list stays in force: a bad message must not take servers away.
-            failed(e.getMessage());
+            // The last list stays in force: a malformed message must not remove servers.
+            watchFailed(e.getMessage());
             return;
         }
         backoff.reset();
-        if (failuresInARow > 0) {
-            LOG.info("discovery at {} is heard again after {} failures", address, failuresInARow);
-            failuresInARow = 0;
+        if (consecutiveFailures > 0) {
+            LOG.info("discovery at {} answers again after {} failures", address, consecutiveFailures);
+            consecutiveFailures = 0;
         }
-        asksWhole = false;
-        isFresh |= asksNow || !times.asksFirst();
-        if (!moved) {
-            // Whoever asks beside is of no use any more.
-            dropConnecting();
+        requestsFullList = false;
+        isFresh |= callAsksCurrent || !times.currentListFirst();
+        if (!addressChanged) {
+            // A parallel call is no longer needed.
+            closeNextChannel();
         }
         try {
-            changed.accept(change);
+            onChange.accept(change);
         } finally {
-            // One without a length is whole when its connection has ended, whatever its head says of that.
-            next(HttpUtil.isKeepAlive(response) && channel != null && channel.isActive());
+            // A response without a length is complete when its connection has closed, whatever its header says about
+            // keep-alive.
+            continueWatch(HttpUtil.isKeepAlive(response) && channel != null && channel.isActive());
         }
         if (isFresh) {
             releaseWaiters();
         }
     }
 
-    private void next(boolean onThisConnection) {
-        if (onThisConnection && channel != null) {
-            call();
+    private void continueWatch(boolean keepsConnection) {
+        if (keepsConnection && channel != null) {
+            sendCall();
         } else {
-            dropWatch();
-            goOn(this::start);
+            closeChannel();
+            unlessReconnecting(this::start);
         }
     }
 
-    /** Milliseconds until the next try; an agent that may be behind after a move is asked once that time is over. */
-    private long pause() {
+    /**
+     * Returns the milliseconds until the next attempt. An agent that may be behind after an address change is asked as
+     * soon as the time to catch up is over.
+     */
+    private long retryDelayMs() {
         long pause = backoff.next();
         if (!mayBeBehind()) {
             return pause;
         }
-        long left = behindTimer.getDelay(TimeUnit.MILLISECONDS) + 1;
+        long left = catchUpTimer.getDelay(TimeUnit.MILLISECONDS) + 1;
         return Math.min(pause, Math.max(1, left));
     }
 
     private boolean mayBeBehind() {
-        return behindTimer != null && !behindTimer.isDone();
+        return catchUpTimer != null && !catchUpTimer.isDone();
     }
 
-    /** The watch broke. */
-    private void failed(String why) {
+    /** Gives up the watching connection and schedules a retry. */
+    private void watchFailed(String reason) {
         isFresh = false;
-        dropWatch();
-        goOn(() -> again(why));
+        closeChannel();
+        unlessReconnecting(() -> scheduleRetry(reason));
     }
 
-    /** Does what brings up a new connection, unless one is on its way already. */
-    private void goOn(Runnable how) {
-        if (connecting == null && retryTimer == null) {
-            how.run();
+    /** Runs a step that opens a new connection, unless one is pending already. */
+    private void unlessReconnecting(Runnable connectStep) {
+        if (nextChannel == null && retryTimer == null) {
+            connectStep.run();
         }
     }
 
-    /** The next connection comes after a wait that grows, so that a dead agent costs nothing. */
-    private void again(String why) {
+    /** Schedules the next connection with exponential back-off, so that an unavailable agent costs little. */
+    private void scheduleRetry(String reason) {
         if (stopped) {
             return;
         }
         failures++;
-        if (failuresInARow++ == 0) {
-            LOG.warn("discovery at {} is not heard: {}", address, why);
+        if (consecutiveFailures++ == 0) {
+            LOG.warn(
+                    "discovery at {} is unavailable: {}; the last server list stays in force, retrying",
+                    address,
+                    reason);
         } else {
-            LOG.debug("discovery: {}", why);
+            LOG.debug("discovery call failed: {}", reason);
         }
         retryTimer = loop.schedule(
                 () -> {
                     retryTimer = null;
                     start();
                 },
-                pause(),
+                retryDelayMs(),
                 TimeUnit.MILLISECONDS);
-        failed.run();
+        onFailure.run();
     }
 
-    /** The one place where the connection that watches and its timer are given back. */
-    private void dropWatch() {
+    /** Closes the watching connection and cancels its timers. No other method does this. */
+    private void closeChannel() {
         cancelCallTimers();
-        isOpen = false;
+        callPending = false;
         Channel old = channel;
         channel = null;
         if (old != null) {
@@ -470,23 +496,23 @@
     }
 
     private void cancelCallTimers() {
-        if (callTimer != null) {
-            callTimer.cancel(false);
+        if (readTimer != null) {
+            readTimer.cancel(false);
         }
-        if (wholeTimer != null) {
-            wholeTimer.cancel(false);
+        if (responseTimer != null) {
+            responseTimer.cancel(false);
         }
     }
 
-    /** The one place where a connection that is not up yet, and the wait for the next one, are given back. */
-    private void dropConnecting() {
+    /** Closes the connection that is not watching yet and cancels a pending retry. No other method does this. */
+    private void closeNextChannel() {
         if (retryTimer != null) {
             retryTimer.cancel(false);
             retryTimer = null;
         }
-        cancelBeside();
-        Channel old = connecting;
-        connecting = null;
+        cancelOverlappingCallTimer();
+        Channel old = nextChannel;
+        nextChannel = null;
         if (old != null) {
             old.close();
         }
--- a/router/src/main/java/stagepier/discovery/FreshListWaiters.java
+++ b/router/src/main/java/stagepier/discovery/FreshListWaiters.java
@@ -7,38 +7,38 @@
 import java.util.concurrent.TimeUnit;
 import stagepier.tasks.GuardedTask;
 
-/** What waits until the list of servers is known to be up to date, and for how long at the most. Owns its one timer. */
+/** Callbacks that wait until the server list is known to be up to date, for a bounded time. Owns its one timer. */
 final class FreshListWaiters {
     private final EventLoop loop;
-    private final int mostMs;
-    private final Runnable lastLook;
+    private final int maxWaitMs;
+    private final Runnable finalRead;
     private final List<Runnable> waiting = new ArrayList<>();
     /** Null while nothing waits. */
     private Future<?> timer;
 
     /**
-     * @param mostMs   milliseconds after which all that waits is run, whatever the list is
-     * @param lastLook reads what has come of the list by that moment, which may be the fresh one
+     * @param maxWaitMs milliseconds after which all callbacks run, whatever the list is
+     * @param finalRead reads what has arrived of the list by that moment, which may be the fresh one
      */
-    FreshListWaiters(EventLoop loop, int mostMs, Runnable lastLook) {
+    FreshListWaiters(EventLoop loop, int maxWaitMs, Runnable finalRead) {
         this.loop = loop;
-        this.mostMs = mostMs;
-        this.lastLook = lastLook;
+        this.maxWaitMs = maxWaitMs;
+        this.finalRead = finalRead;
     }
 
-    void add(Runnable then) {
-        waiting.add(then);
+    void add(Runnable callback) {
+        waiting.add(callback);
         if (timer == null) {
-            timer = loop.schedule(this::timeIsUp, mostMs, TimeUnit.MILLISECONDS);
+            timer = loop.schedule(this::onTimeout, maxWaitMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void timeIsUp() {
-        lastLook.run();
+    private void onTimeout() {
+        finalRead.run();
         release();
     }
 
-    /** Runs all that waits; a fault in one keeps no other waiting. */
+    /** Runs all waiting callbacks; an exception in one does not affect the others. */
     void release() {
         if (timer != null) {
             timer.cancel(false);
@@ -46,6 +46,6 @@
         }
         List<Runnable> due = List.copyOf(waiting);
         waiting.clear();
-        due.forEach(one -> new GuardedTask("work that waited for the list", one).run());
+        due.forEach(waiter -> new GuardedTask("task waiting for a fresh server list", waiter).run());
     }
 }
--- a/router/src/main/java/stagepier/discovery/HostGroup.java
+++ b/router/src/main/java/stagepier/discovery/HostGroup.java
@@ -23,24 +23,24 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * Discovery's list of cache servers as this router last had it, with what staff said of them applied: whoever is out counts
- * as one that drains, whoever was put back as one that started then.
+ * The latest server list of discovery, with the operators' bans applied: a banned server counts as draining, and a
+ * restored server as started at the time of its restoration.
  */
 public final class HostGroup {
-    /** A cache server: its id on the list, as the module knows it, and where it is. */
+    /** A cache server: its id in the list, its member record for the routing module, and its address. */
     public record Host(String name, Api.Member member, InetSocketAddress address) {}
 
     /**
-     * What one message of discovery changed.
+     * The changes made by one message of discovery.
      *
-     * @param complete the message held the whole list
+     * @param complete whether the message held the whole list
      * @param hosts    the entries of the message
      * @param left     hosts that a whole list no longer names
      */
     public record Change(boolean complete, List<Host> hosts, List<Host> left) {}
 
-    /** Ids that were ever listed are remembered up to this many. Guards against memory that grows with every new server. */
-    private static final int NAMES_MOST = 4096;
+    /** Limit of remembered server ids, which would otherwise use memory for every server that was ever listed. */
+    private static final int MAX_REMEMBERED_NAMES = 4096;
 
     private final SettingsParser.Names names;
     private final StartTimes startTimes;
@@ -48,7 +48,7 @@
     private final Set<String> everListed = new LinkedHashSet<>();
     private final Map<Long, Host> hosts = new LinkedHashMap<>();
     private long generation = -1;
-    /** Null where nothing is ever held. */
+    /** Null if changes are never held. */
     private Admission admission;
 
     public HostGroup(SettingsParser.Names names, Clock clock) {
@@ -56,15 +56,15 @@
         startTimes = new StartTimes(clock);
     }
 
-    /** Version of the list; -1 where there is none yet. */
+    /** Returns the version of the list; -1 if there is none yet. */
     public long generation() {
         return generation;
     }
 
     /**
-     * Takes a message, whole or not at all.
+     * Applies a message completely or not at all.
      *
-     * @throws IllegalArgumentException where it makes no sense; the list is then as before
+     * @throws IllegalArgumentException if the message is malformed; the list is then unchanged
      */
     public Change apply(JsonElement message) {
         List<Host> listed = new ArrayList<>();
@@ -83,12 +83,12 @@
                 | IllegalStateException
                 | UnsupportedOperationException
                 | NumberFormatException e) {
-            throw new IllegalArgumentException("not a host group: " + e.getMessage(), e);
+            throw new IllegalArgumentException("malformed server list: " + e.getMessage(), e);
         }
-        listed.replaceAll(this::withOwnStart);
+        listed.replaceAll(this::withLocalStart);
         Map<Long, Host> before = new LinkedHashMap<>(hosts);
         if (admission != null && generation >= 0) {
-            listed = admitted(listed, complete);
+            listed = filterByAdmission(listed, complete);
         }
         if (complete) {
             hosts.clear();
@@ -102,35 +102,37 @@
             }
         }
         generation = version;
-        listed.forEach(host -> remember(host.name()));
+        listed.forEach(host -> rememberName(host.name()));
         return new Change(
                 complete,
-                listed.stream().map(this::counted).toList(),
+                listed.stream().map(this::withBan).toList(),
                 complete ? List.copyOf(before.values()) : List.of());
     }
 
     /**
-     * Takes a message that discovery has just sent.
+     * Applies a message that discovery has just sent.
      *
-     * @throws IllegalArgumentException where it makes no sense; the list is then as before
+     * @throws IllegalArgumentException if the message is malformed; the list is then unchanged
      */
     Change applyFresh(JsonElement message) {
         Change change = apply(message);
-        startTimes.listTaken();
+        startTimes.recordListReceived();
         return change;
     }
 
-    private Host withOwnStart(Host host) {
+    private Host withLocalStart(Host host) {
         double listed = host.member().startedAt();
-        return as(host, host.member().state(), startTimes.of(host.member().id(), listed));
+        return withStateAndStart(
+                host, host.member().state(), startTimes.of(host.member().id(), listed));
     }
 
     /**
-     * Whether a message is older than the list here, so that it must not be taken. Changes up to an older version follow on
-     * another list than this one: taken, they would bring back servers or leave others unknown. A whole list may be older
-     * where its agent counts otherwise, unless that agent may only be behind.
+     * Returns whether a message is older than the list held here and must not be applied. Changes up to an older
+     * version follow another list than this one: applied, they would bring back removed servers or leave others
+     * unknown. A whole list may have an older version if its agent numbers versions differently, unless that agent may
+     * only be behind.
      */
-    boolean goesBack(JsonElement message, boolean mayBeBehind) {
+    boolean isOutdated(JsonElement message, boolean mayBeBehind) {
         if (message instanceof JsonObject o
                 && o.get("generation") instanceof JsonPrimitive version
                 && o.get("reset") instanceof JsonPrimitive reset
@@ -140,49 +142,55 @@
         return false;
     }
 
-    /** Before the first list: from then on voluntary changes are asked about. The first list is what a process begins with. */
+    /**
+     * Sets the admission check for voluntary changes. It applies after the first list, which is the initial state of a
+     * process.
+     */
     public void setAdmission(Admission admits) {
         admission = admits;
     }
 
-    /** The entries as they count: without servers whose addition is held, others as before where a change of theirs is. */
-    private List<Host> admitted(List<Host> listed, boolean complete) {
-        List<Host> counts = new ArrayList<>();
-        Set<String> named = new LinkedHashSet<>();
+    /**
+     * Returns the entries in force: without servers whose addition is held, and with the previous entry for servers
+     * whose change is held.
+     */
+    private List<Host> filterByAdmission(List<Host> listed, boolean complete) {
+        List<Host> effective = new ArrayList<>();
+        Set<String> listedNames = new LinkedHashSet<>();
         for (Host host : listed) {
-            named.add(host.name());
+            listedNames.add(host.name());
             Host old = hosts.get(host.member().id());
             if (host.member().state() != Api.MemberState.READY) {
                 admission.overtaken(host.name());
-                counts.add(host);
+                effective.add(host);
             } else if (admission.admits(old, host)) {
-                counts.add(host);
+                effective.add(host);
             } else if (old != null && old.member().state() == Api.MemberState.READY) {
-                // Keys must not be sent to a process of another name: who lost its address to another server drains
-                // until it may move.
-                Api.MemberState state = isTaken(old, listed) ? Api.MemberState.DRAINING : Api.MemberState.READY;
-                counts.add(as(old, state, host.member().startedAt()));
+                // Keys must not be sent to a process of another name: a server whose address was reassigned counts as
+                // draining until its own change may be applied.
+                Api.MemberState state = isAddressReused(old, listed) ? Api.MemberState.DRAINING : Api.MemberState.READY;
+                effective.add(withStateAndStart(old, state, host.member().startedAt()));
             } else if (old != null) {
-                // It drained, and goes on counting so until it may be taken up again.
-                counts.add(old);
+                // The server was draining and continues to until its change may be applied.
+                effective.add(old);
             }
         }
         if (complete) {
-            everListed.stream().filter(name -> !named.contains(name)).forEach(admission::overtaken);
+            everListed.stream().filter(name -> !listedNames.contains(name)).forEach(admission::overtaken);
         }
-        named.forEach(this::remember);
-        return counts;
+        listedNames.forEach(this::rememberName);
+        return effective;
     }
 
-    /** Whether another server is listed at the address of this one. */
-    private boolean isTaken(Host host, List<Host> listed) {
+    /** Returns whether another server is listed at the address of this one. */
+    private boolean isAddressReused(Host host, List<Host> listed) {
         return Stream.concat(listed.stream(), hosts.values().stream())
                 .anyMatch(other -> other.address() != null
                         && other.member().id() != host.member().id()
                         && other.address().equals(host.address()));
     }
 
-    private static Host as(Host host, Api.MemberState state, double startedAt) {
+    private static Host withStateAndStart(Host host, Api.MemberState state, double startedAt) {
         Api.Member m = host.member();
         return new Host(
                 host.name(),
@@ -190,26 +198,26 @@
                 host.address());
     }
 
-    /** Takes up an entry that was held. */
+    /** Applies an entry that was held. */
     public Change admit(Host host) {
         hosts.put(host.member().id(), host);
-        return new Change(false, List.of(counted(host)), List.of());
+        return new Change(false, List.of(withBan(host)), List.of());
     }
 
-    private void remember(String name) {
+    private void rememberName(String name) {
         everListed.remove(name);
         everListed.add(name);
-        if (everListed.size() > NAMES_MOST) {
+        if (everListed.size() > MAX_REMEMBERED_NAMES) {
             everListed.remove(everListed.iterator().next());
         }
     }
 
-    /** Whether there ever was such a server on the list, or staff took it out when there was. */
+    /** Returns whether a server of this name was ever listed, or banned by operators when it was. */
     public boolean knows(String name) {
         return everListed.contains(name) || bans.isBanned(name);
     }
 
-    /** The zone of a server that counts, by its name; "" where it has none or is none of them. */
+    /** Returns the zone of a server in force, by its name; "" if it has no zone or is not in force. */
     public String zone(String server) {
         Host host = hosts.get(Ids.ofServer(server));
         int zone = host == null ? -1 : host.member().zone();
@@ -220,27 +228,27 @@
         return bans;
     }
 
-    /** Takes what staff said of servers; what that changes of the list is as if discovery had told it. */
-    public Change apply(List<Ban> said) {
+    /** Applies bans and restorations by operators; the result has the form of a change made by discovery. */
+    public Change apply(List<Ban> updates) {
         List<Host> changed = new ArrayList<>();
-        for (Ban ban : said) {
+        for (Ban ban : updates) {
             Host host = hosts.get(Ids.ofServer(ban.server()));
             if (bans.take(ban) && host != null) {
-                changed.add(counted(host));
+                changed.add(withBan(host));
             }
         }
         return new Change(false, changed, List.of());
     }
 
-    /** The host as it counts. */
-    private Host counted(Host host) {
+    /** Returns the host with its ban or restoration applied. */
+    private Host withBan(Host host) {
         Api.Member m = host.member();
         if (m.state() != Api.MemberState.READY) {
             return host;
         }
-        boolean out = bans.isBanned(host.name());
-        // Staff restart what they take out. Guards against a list that tells that late or never.
-        double started = Math.max(m.startedAt(), startTimes.notInFuture(bans.backSince(host.name())));
+        boolean banned = bans.isBanned(host.name());
+        // Operators restart the servers that they take out, and the list may report that start late or never.
+        double startedAt = Math.max(m.startedAt(), startTimes.capToNow(bans.restoredAt(host.name())));
         return new Host(
                 host.name(),
                 new Api.Member(
@@ -248,9 +256,9 @@
                         m.zone(),
                         m.cell(),
                         m.kind(),
-                        out ? Api.MemberState.DRAINING : m.state(),
+                        banned ? Api.MemberState.DRAINING : m.state(),
                         m.weight(),
-                        started),
+                        startedAt),
                 host.address());
     }
 
@@ -270,7 +278,7 @@
                 state,
                 number(o, "weight", 1),
                 number(o, "startedAtMs", 0) / 1e3);
-        // One that is removed need not tell where it was.
+        // A removed server may come without an address.
         return new Host(
                 name,
                 member,
@@ -281,15 +289,15 @@
         return o.has(key) ? o.get(key).getAsString() : "";
     }
 
-    private static double number(JsonObject o, String key, double absent) {
-        double value = o.has(key) ? o.get(key).getAsDouble() : absent;
+    private static double number(JsonObject o, String key, double defaultValue) {
+        double value = o.has(key) ? o.get(key).getAsDouble() : defaultValue;
         if (!Double.isFinite(value)) {
             throw new IllegalArgumentException(key + " is not a finite number");
         }
         return value;
     }
 
-    /** An address and port in figures; names are refused, for there is no DNS. */
+    /** Parses a numeric IP address and port. Host names are rejected, because the router does not use DNS. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/router/src/main/java/stagepier/discovery/StartTimes.java
+++ b/router/src/main/java/stagepier/discovery/StartTimes.java
@@ -5,67 +5,68 @@
 import stagepier.exchange.Clock;
 
 /**
- * When cache servers started, by the clock of this process. Lists tell it in Unix time, and the wall clock of this machine may have been
- * stepped before the process began. Guards against a server that counts as warm, or as cold, for as long as the clock is wrong: none
- * started in the future, and one that is listed as newly started while lists are followed has not started long before the list before.
+ * Start times of cache servers by the clock of this process. Lists give them in Unix time, and the wall clock of this
+ * machine may have been stepped before the process started. A server would then count as warm, or as cold, for as long
+ * as the clock is wrong. Two limits prevent that: no server started in the future, and a server listed with a new start
+ * while lists are followed did not start long before the previous list.
  */
 final class StartTimes {
-    /** Seconds between a server's start and the list that names it. */
-    private static final double LISTED_WITHIN = 1;
-    /** Servers that are remembered, so that one which is listed again unchanged keeps its age. */
-    private static final int SERVERS_MOST = 4096;
+    /** Longest expected delay in seconds between the start of a server and the list that names it. */
+    private static final double MAX_LISTING_DELAY_S = 1;
+    /** Limit of remembered servers. A remembered server that is listed again unchanged keeps its age. */
+    private static final int MAX_SERVERS = 4096;
 
     /**
-     * @param listed as the list tells it
-     * @param here   by the clock of this process
+     * @param listedStart start according to the list
+     * @param localStart  start by the clock of this process
      */
-    private record Start(double listed, double here) {}
+    private record Start(double listedStart, double localStart) {}
 
     private final Clock clock;
     private final Map<Long, Start> starts = new LinkedHashMap<>();
-    /** When the last list of discovery was taken; NaN before the first. */
-    private double listTakenAt = Double.NaN;
+    /** When the last list of discovery was applied; NaN before the first. */
+    private double lastListAt = Double.NaN;
 
     StartTimes(Clock clock) {
         this.clock = clock;
     }
 
     /**
-     * The start of a server in seconds of the clock; 0 where that was long ago.
+     * Returns the start of a server in seconds of the clock; 0 if that was long ago.
      *
-     * @param listed as the list tells it, in seconds of Unix time
+     * @param listedStart start according to the list, in seconds of Unix time
      */
-    double of(long server, double listed) {
-        if (listed == 0) {
+    double of(long server, double listedStart) {
+        if (listedStart == 0) {
             return 0;
         }
         Start known = starts.get(server);
-        if (known != null && known.listed() == listed) {
-            return known.here();
+        if (known != null && known.listedStart() == listedStart) {
+            return known.localStart();
         }
-        double here = notInFuture(listed);
-        if (!Double.isNaN(listTakenAt)) {
-            here = Math.max(here, listTakenAt - LISTED_WITHIN);
+        double localStart = capToNow(listedStart);
+        if (!Double.isNaN(lastListAt)) {
+            localStart = Math.max(localStart, lastListAt - MAX_LISTING_DELAY_S);
         }
-        remember(server, new Start(listed, here));
-        return here;
+        remember(server, new Start(listedStart, localStart));
+        return localStart;
     }
 
-    /** A time that was read off a wall clock. */
-    double notInFuture(double time) {
+    /** Limits a time read from a wall clock to the current time. */
+    double capToNow(double time) {
         return Math.min(time, clock.now());
     }
 
     private void remember(long server, Start start) {
         starts.remove(server);
         starts.put(server, start);
-        if (starts.size() > SERVERS_MOST) {
+        if (starts.size() > MAX_SERVERS) {
             starts.remove(starts.keySet().iterator().next());
         }
     }
 
-    /** A list of discovery, not one that may be old, has been taken whole. */
-    void listTaken() {
-        listTakenAt = clock.now();
+    /** Records that a list received from discovery, as opposed to one that may be old, has been applied completely. */
+    void recordListReceived() {
+        lastListAt = clock.now();
     }
 }
--- a/router/src/main/java/stagepier/discovery/WatchTimes.java
+++ b/router/src/main/java/stagepier/discovery/WatchTimes.java
@@ -1,105 +1,111 @@
 package stagepier.discovery;
 
 /**
- * How long a {@link DiscoveryWatch} waits for what, in milliseconds. Two clocks bound these waits. A change that a silent
- * or failed watch misses counts as told after 6 s, whether or not it arrived. A change that did arrive counts as told at
- * once, and from then on sends may go on for the drain grace of the settings: whatever may stand between the two has to
- * fit the grace.
+ * Timeouts and delays of a {@link DiscoveryWatch}, in milliseconds. Two rules bound them. A change that a silent or
+ * failed watch misses is deemed known after 6 s, whether or not it arrived. A change that did arrive is deemed known at
+ * once, and requests may be sent by the old list for the drain grace of the settings after that: all delays between the
+ * arrival and its use have to fit that grace.
  *
- * @param hold          longest wait that a call asks for; a connection that fell silent costs no more than this and the slack
- * @param holdSpread    by chance the wait is up to so much less, so that many routers do not go on in step
- * @param slack         after the end of its wait a call counts as silent
- * @param asksFirst     the first call of a connection asks what there is now and is answered at once, so that a silent
- *                      service is told from one that has nothing new; else each call waits for what is new
- * @param listWithin    a call that asks what there is now is given up after this
- * @param connectWithin a connection is given up after this
- * @param retryFirst    longest pause before the first retry
- * @param retryMost     longest pause before any retry
- * @param retryLeast    the least part of a longest pause that is waited
- * @param freshWithin   whoever waits for the list to be fresh waits no longer than this for a silent service
+ * @param holdMs           longest hold time that a call asks for; a connection that fell silent is detected after at
+ *                         most this and the slack
+ * @param holdSpreadMs     random reduction of the hold time, up to this, so that many routers do not call in step
+ * @param slackMs          time after the end of the hold time when a call counts as silent
+ * @param currentListFirst whether the first call of a connection asks for the current list and is answered at once,
+ *                         which distinguishes a silent service from one without changes; if false, every call waits for
+ *                         changes
+ * @param listTimeoutMs    timeout of a call that asks for the current list
+ * @param connectTimeoutMs timeout of a connection attempt
+ * @param firstRetryMs     longest delay before the first retry
+ * @param maxRetryMs       longest delay before any retry
+ * @param minRetryFraction fraction of a longest delay that is always waited
+ * @param freshTimeoutMs   longest time that a caller waits for a fresh list when the service is silent
  */
 public record WatchTimes(
-        int hold,
-        int holdSpread,
-        int slack,
-        boolean asksFirst,
-        int listWithin,
-        int connectWithin,
-        int retryFirst,
-        int retryMost,
-        double retryLeast,
-        int freshWithin) {
-    /** How long a process that begins waits for its first list: the whole time of a call that is answered at once. */
-    int firstWithin() {
-        return asksFirst ? connectWithin + listWithin : freshWithin;
+        int holdMs,
+        int holdSpreadMs,
+        int slackMs,
+        boolean currentListFirst,
+        int listTimeoutMs,
+        int connectTimeoutMs,
+        int firstRetryMs,
+        int maxRetryMs,
+        double minRetryFraction,
+        int freshTimeoutMs) {
+    /**
+     * Returns how long a starting process waits for its first list: the whole time of a call that is answered at once.
+     */
+    int firstListTimeoutMs() {
+        return currentListFirst ? connectTimeoutMs + listTimeoutMs : freshTimeoutMs;
     }
 
-    private static final int HOLD = 3000;
-    private static final int HOLD_SPREAD = 500;
-    private static final int SLACK = 1000;
-    private static final int RETRY_FIRST = 100;
-    /** Parts of the drain grace; with a grace of a second or more the waits are these parts of a second. */
-    private static final double ANSWER_PART = 0.3;
+    private static final int HOLD_MS = 3000;
+    private static final int HOLD_SPREAD_MS = 500;
+    private static final int SLACK_MS = 1000;
+    private static final int FIRST_RETRY_MS = 100;
+    /** Fractions of the drain grace, which counts as one second at most. */
+    private static final double ANSWER_FRACTION = 0.3;
 
-    private static final double RETRY_PART = 0.25;
-    private static final double FRESH_PART = 0.2;
-    private static final double MILLIS = 1e3;
-    /** A second silent connection in a row is found within the 6 s as well: twice hold and slack. */
-    private static final int SHARED_HOLD = 2000;
+    private static final double RETRY_FRACTION = 0.25;
+    private static final double FRESH_FRACTION = 0.2;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    /** A second silent connection in a row is detected within the 6 s as well: twice hold and slack. */
+    private static final int SHARED_HOLD_MS = 2000;
     /**
-     * Pauses for a service that turns calls away while it is overloaded. Each call there costs it work, whether or not it
-     * is turned away, so that a fleet which retries at once keeps it overloaded for good. Two longest pauses fit the 6 s.
+     * Retry delays for a service that rejects calls while it is overloaded. Each call costs the service work, whether
+     * or not it is rejected, so that a fleet that retries at once would keep it overloaded permanently. Two longest
+     * delays fit into the 6 s.
      */
-    private static final int SHARED_RETRY_FIRST = 400;
+    private static final int SHARED_FIRST_RETRY_MS = 400;
 
-    private static final int SHARED_RETRY_MOST = 2500;
-    private static final double SHARED_RETRY_LEAST = 0.5;
+    private static final int SHARED_MAX_RETRY_MS = 2500;
+    private static final double SHARED_MIN_RETRY_FRACTION = 0.5;
 
     /**
-     * For an agent on the same machine, which answers at once, and what it has counts as told when it has it.
+     * Returns the times for an agent on the same machine, which answers at once. What the agent has is deemed known
+     * when it has it.
      *
      * @param drainGrace in seconds, from the settings
      */
     public static WatchTimes ofAgent(double drainGrace) {
-        int answer = part(ANSWER_PART, drainGrace);
-        int retry = part(RETRY_PART, drainGrace);
+        int answerMs = fractionOfGraceMs(ANSWER_FRACTION, drainGrace);
+        int retryMs = fractionOfGraceMs(RETRY_FRACTION, drainGrace);
         return new WatchTimes(
-                HOLD,
-                HOLD_SPREAD,
-                SLACK,
+                HOLD_MS,
+                HOLD_SPREAD_MS,
+                SLACK_MS,
                 true,
-                answer,
-                answer,
-                Math.min(RETRY_FIRST, retry),
-                retry,
+                answerMs,
+                answerMs,
+                Math.min(FIRST_RETRY_MS, retryMs),
+                retryMs,
                 0,
-                part(FRESH_PART, drainGrace));
+                fractionOfGraceMs(FRESH_FRACTION, drainGrace));
     }
 
     /**
-     * For one service that all routers ask, which works through their calls in turn and turns away what it cannot reach
-     * in time. A new watch costs it a call; a watch that goes on costs it next to nothing.
+     * Returns the times for one service that all routers call. It queues their calls and rejects those that it cannot
+     * answer in time. A new watch costs the service one call; a watch that continues costs it very little.
      *
      * @param drainGrace in seconds, from the settings
      */
     public static WatchTimes ofSharedService(double drainGrace) {
-        int connect = part(ANSWER_PART, Double.POSITIVE_INFINITY);
+        int connectMs = fractionOfGraceMs(ANSWER_FRACTION, Double.POSITIVE_INFINITY);
         return new WatchTimes(
-                SHARED_HOLD,
-                HOLD_SPREAD,
-                SLACK,
+                SHARED_HOLD_MS,
+                HOLD_SPREAD_MS,
+                SLACK_MS,
                 false,
-                connect,
-                connect,
-                SHARED_RETRY_FIRST,
-                SHARED_RETRY_MOST,
-                SHARED_RETRY_LEAST,
-                part(FRESH_PART, drainGrace));
+                connectMs,
+                connectMs,
+                SHARED_FIRST_RETRY_MS,
+                SHARED_MAX_RETRY_MS,
+                SHARED_MIN_RETRY_FRACTION,
+                fractionOfGraceMs(FRESH_FRACTION, drainGrace));
     }
 
-    /** Settings without a grace name none: the waits are then those for a second. */
-    private static int part(double part, double drainGrace) {
-        double grace = drainGrace > 0 ? Math.min(1, drainGrace) : 1;
-        return Math.max(1, (int) Math.round(part * MILLIS * grace));
+    /** Settings without a drain grace use the times for one second. */
+    private static int fractionOfGraceMs(double fraction, double drainGrace) {
+        double graceSeconds = drainGrace > 0 ? Math.min(1, drainGrace) : 1;
+        return Math.max(1, (int) Math.round(fraction * MILLIS_PER_SECOND * graceSeconds));
     }
 }
--- a/router/src/test/java/stagepier/bans/BansTest.java
+++ b/router/src/test/java/stagepier/bans/BansTest.java
@@ -16,30 +16,30 @@
     private Path shared;
 
     @Test
-    void whatWasSaidLastHoldsInWhateverOrderItIsHeard() {
+    void latestDecisionIsInForceInWhateverOrderItArrives() {
         Bans bans = new Bans();
         assertTrue(bans.take(new Ban("a", true, 10)));
-        assertFalse(bans.take(new Ban("a", true, 10)), "no news");
+        assertFalse(bans.take(new Ban("a", true, 10)), "not new");
         assertTrue(bans.take(new Ban("a", false, 12)));
-        assertFalse(bans.take(new Ban("a", true, 11)), "said before");
+        assertFalse(bans.take(new Ban("a", true, 11)), "older than the one in force");
         assertFalse(bans.isBanned("a"));
-        assertEquals(12, bans.backSince("a"));
-        assertTrue(bans.stamp("a", 11.5) > 12, "a clock that is a little behind does not make it old");
+        assertEquals(12, bans.restoredAt("a"));
+        assertTrue(bans.stamp("a", 11.5) > 12, "a clock that is a little behind must not make it older");
     }
 
     @Test
-    void whoIsBackForLongIsForgottenAndWhoIsOutNever() {
+    void restoredServerIsForgottenInTimeAndABannedOneNever() {
         Bans bans = new Bans();
         bans.take(new Ban("a", true, 10));
         bans.take(new Ban("b", false, 10));
-        assertEquals(List.of(), bans.forget(10 + Bans.BACK_REMEMBERED));
+        assertEquals(List.of(), bans.forget(10 + Bans.RESTORED_RETENTION_S));
         assertEquals(List.of(new Ban("b", false, 10)), bans.forget(1000));
         assertTrue(bans.isBanned("a"));
         assertEquals(1, bans.out());
     }
 
     @Test
-    void whatOneProcessKeepsAnotherReadsWholeAndOnlyOnce() throws Exception {
+    void banWrittenByOneProcessIsReadCompletelyAndOnceByAnother() throws Exception {
         BanFiles one = new BanFiles(shared);
         BanFiles other = new BanFiles(shared);
         assertEquals(List.of(), other.readChanges(), "there is no folder yet");
@@ -49,15 +49,15 @@
         assertEquals(List.of(ban), other.readChanges());
         Ban back = new Ban("s-1/x", false, stamp + 1);
         other.save(back);
-        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "the later one has taken its place");
+        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "the later one has replaced it");
         one.delete(ban);
-        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "another process has said something since");
+        assertEquals(List.of(back), new BanFiles(shared).readChanges(), "another process has written a newer one");
         one.delete(back);
         assertEquals(List.of(), new BanFiles(shared).readChanges());
     }
 
     @Test
-    void aBanThatCannotBeWrittenIsKeptAsSoonAsItCanBe() throws Exception {
+    void failedWriteOfABanIsRetried() throws Exception {
         BanFiles files = new BanFiles(shared);
         Path blocked = Files.createFile(shared.resolve("stagepier-bans-1"));
         Ban ban = new Ban("a", true, 10);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void whatIsTornOrForeignIsIgnored() throws Exception {
+    void incompleteAndForeignFilesAreIgnored() throws Exception {
         BanFiles files = new BanFiles(shared);
         files.save(new Ban("good", true, 5));
         Path folder;
--- a/router/src/test/java/stagepier/discovery/DiscoveryWatchTest.java
+++ b/router/src/test/java/stagepier/discovery/DiscoveryWatchTest.java
@@ -11,313 +11,339 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stagepier.discovery.WatchBench.Speech;
+import stagepier.discovery.WatchBench.ResponseMode;
 
 /**
- * When a change that discovery has to tell is known here, against when it counts as told: what a watch that fell silent
- * misses 6 s after that, or 2 s after the wait of the call if that is later; what an agent has when it has it; after SIGHUP
- * 4 s later. From then on sends may go on for one second, of which 0.4 s are left to the loop's own delay.
+ * Checks when the router knows a change of the server list, against the time when the change is deemed known. A change
+ * that a silent watch misses is deemed known 6 s after the silence began, or 2 s after the hold time of the call if
+ * that is later; a change that an agent has at the time when the agent has it; after SIGHUP 4 s later. From then on
+ * requests may be sent by the old list for one second, of which 0.4 s are reserved for delays of the event loop.
  */
 @Timeout(30)
 class DiscoveryWatchTest {
-    private static final int SILENCE_MS = 6000;
-    private static final int AFTER_WAIT_MS = 2000;
-    private static final int SENDS_GO_ON_MS = 600;
-    /** The head and the list in pieces of 24 bytes, 0.3 s apart, and a call that was open when they began. */
-    private static final int PIECES_TAKE_MS = 6000;
+    private static final int DEEMED_KNOWN_MS = 6000;
+    private static final int AFTER_HOLD_MS = 2000;
+    private static final int SENDS_ALLOWED_MS = 600;
+    /**
+     * Duration of a response header and list in pieces of 24 bytes at intervals of 0.3 s, plus a call that was pending
+     * when they started.
+     */
+    private static final int PIECES_DURATION_MS = 6000;
 
     private WatchBench bench;
     private WatchBench.Agent agent;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         bench = new WatchBench();
         agent = bench.agents.get(0);
         bench.watch.start();
-        bench.until(() -> agent.asked > 0, 1000);
+        bench.runUntil(() -> agent.callsReceived > 0, 1000);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         bench.close();
     }
 
-    /** The open connection falls silent at some moment of its wait, and the drain comes so long after. */
+    /** The open connection falls silent during the hold time of a call, and the drain follows some time later. */
     @ParameterizedTest
     @CsvSource({
-        "NOTHING,0,0",
-        "NOTHING,0,3500",
-        "NOTHING,2900,100",
-        "NOTHING,1500,5900",
-        "NOTHING,400,2500",
-        "HALF_A_HEAD,0,0",
-        "HALF_A_HEAD,2900,50",
-        "HEAD,0,0",
-        "HEAD,1500,10",
-        "HEAD,2900,50",
-        "HALF_A_LIST,0,0",
-        "HALF_A_LIST,2900,50",
-        "HALF_A_LIST,1500,1000",
+        "SILENT,0,0",
+        "SILENT,0,3500",
+        "SILENT,2900,100",
+        "SILENT,1500,5900",
+        "SILENT,400,2500",
+        "HALF_HEADER,0,0",
+        "HALF_HEADER,2900,50",
+        "HEADER_ONLY,0,0",
+        "HEADER_ONLY,1500,10",
+        "HEADER_ONLY,2900,50",
+        "HALF_BODY,0,0",
+        "HALF_BODY,2900,50",
+        "HALF_BODY,1500,1000",
         "RESET,100,0",
         "RESET,2900,10",
         "RESET,0,5000"
     })
-    void whatASilentWatchMissesIsKnownByTheTimeItCounts(Speech how, long into, long drainAfter) throws IOException {
-        bench.run(into);
-        int before = agent.asked;
-        agent.breakOpenOnes(how);
+    void changeMissedByASilentWatchIsKnownWhenItIsDeemedKnown(
+            ResponseMode responseMode, long heldForMs, long drainAfter) throws IOException {
+        bench.run(heldForMs);
+        int before = agent.callsReceived;
+        agent.breakOpenConnections(responseMode);
         long silentFrom = bench.now;
         bench.run(drainAfter);
         agent.drain();
-        long afterWait = silentFrom - into + agent.longestHold + AFTER_WAIT_MS;
-        long counts =
-                how == Speech.RESET ? bench.now : Math.max(bench.now, Math.max(silentFrom + SILENCE_MS, afterWait));
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
-        assertTrue(bench.drainedAt <= counts + SENDS_GO_ON_MS, "known at " + bench.drainedAt + ", counts at " + counts);
-        assertTrue(agent.asked - before <= 12, agent.asked - before + " calls for it");
+        long afterHold = silentFrom - heldForMs + agent.maxHoldMs + AFTER_HOLD_MS;
+        long deemedKnownAt = responseMode == ResponseMode.RESET
+                ? bench.now
+                : Math.max(bench.now, Math.max(silentFrom + DEEMED_KNOWN_MS, afterHold));
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
+        assertTrue(
+                bench.drainedAt <= deemedKnownAt + SENDS_ALLOWED_MS,
+                "known at " + bench.drainedAt + ", deemed known at " + deemedKnownAt);
+        assertTrue(
+                agent.callsReceived - before <= 12, agent.callsReceived - before + " calls after the connection broke");
     }
 
-    /** Guards against a list that is given up for coming slowly, over and over, where no connection brings it faster. */
+    /**
+     * Prevents a list that arrives slowly from being given up again and again although no connection delivers it
+     * faster.
+     */
     @ParameterizedTest
     @ValueSource(longs = {100, 2900, 2990})
-    void aListInSmallPiecesIsTakenHoweverLateItBegins(long into) throws IOException {
-        bench.run(into);
-        agent.always = Speech.PIECES;
+    void listInSmallPiecesIsAppliedHoweverLateItStarts(long heldForMs) throws IOException {
+        bench.run(heldForMs);
+        agent.mode = ResponseMode.PIECES;
         agent.drain();
         long from = bench.now;
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
         assertTrue(
-                bench.drainedAt <= from + PIECES_TAKE_MS,
-                "from its first connection: " + (bench.drainedAt - from) + " ms");
+                bench.drainedAt <= from + PIECES_DURATION_MS, "after the drain: " + (bench.drainedAt - from) + " ms");
         assertTrue(agent.connections <= 12, agent.connections + " connections");
     }
 
-    /** Guards against an agent that holds the watch on an old list for good by a byte now and then. */
+    /** Prevents an agent that sends a byte now and then from keeping the watch on an old list permanently. */
     @ParameterizedTest
     @ValueSource(longs = {0, 100, 2900})
-    void besideAnAnswerThatNeverEndsTheListIsAskedForAnew(long into) throws IOException {
-        bench.run(into);
-        agent.breakOpenOnes(Speech.DRIP);
+    void listIsRequestedAgainInParallelToAnEndlessResponse(long heldForMs) throws IOException {
+        bench.run(heldForMs);
+        agent.breakOpenConnections(ResponseMode.DRIP);
         agent.drain();
         long from = bench.now;
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
-        assertTrue(bench.drainedAt < from + SILENCE_MS, "known after " + (bench.drainedAt - from) + " ms");
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
+        assertTrue(bench.drainedAt < from + DEEMED_KNOWN_MS, "known after " + (bench.drainedAt - from) + " ms");
         bench.run(5000);
         assertTrue(agent.connections <= 3, agent.connections + " connections");
     }
 
     /**
-     * What an agent gets at the return of discovery counts at once, and the grace of the settings may be short: the waits
-     * between its return and the list have to fit it.
+     * What an agent has when discovery returns is deemed known at once, and the drain grace of the settings may be
+     * short: the delays between the return and the list have to fit into it.
      */
     @ParameterizedTest
     @CsvSource({"0.4,8000", "0.4,1230", "0.75,4100", "0.75,9990"})
-    void withAShortDrainGraceTheListIsAskedForSooner(double drainGrace, long away) throws IOException {
+    void listIsRequestedSoonerWithAShortDrainGrace(double drainGrace, long awayMs) throws IOException {
         try (WatchBench own = new WatchBench(3, WatchTimes.ofAgent(drainGrace))) {
             WatchBench.Agent silent = own.agents.get(0);
             own.watch.start();
-            own.until(() -> silent.asked > 0, 1000);
-            silent.forgets = true;
-            silent.isDown = true;
-            own.run(away);
-            silent.isDown = false;
+            own.runUntil(() -> silent.callsReceived > 0, 1000);
+            silent.dropsCalls = true;
+            silent.isSilent = true;
+            own.run(awayMs);
+            silent.isSilent = false;
             silent.drain();
-            long counts = Math.max(own.now, away < SILENCE_MS ? SILENCE_MS : 0);
-            own.until(() -> own.drainedAt >= 0, 10_000);
+            long deemedKnownAt = Math.max(own.now, awayMs < DEEMED_KNOWN_MS ? DEEMED_KNOWN_MS : 0);
+            own.runUntil(() -> own.drainedAt >= 0, 10_000);
             assertTrue(
-                    own.drainedAt <= counts + drainGrace * SENDS_GO_ON_MS,
-                    "known at " + own.drainedAt + ", counts at " + counts);
+                    own.drainedAt <= deemedKnownAt + drainGrace * SENDS_ALLOWED_MS,
+                    "known at " + own.drainedAt + ", deemed known at " + deemedKnownAt);
         }
     }
 
-    /** A list without a length is whole at its end and not at a reset; half of one never is. */
+    /**
+     * A list without a length is complete when the connection is closed, not when it is reset; half a list is never
+     * complete.
+     */
     @ParameterizedTest
-    @CsvSource({"UNTIL_THE_END,true", "UNTIL_A_RESET,false", "CUT_BY_THE_END,false"})
-    void aResetIsNoEnd(Speech how, boolean isWhole) throws IOException {
+    @CsvSource({"UNTIL_CLOSE,true", "UNTIL_RESET,false", "TRUNCATED_BY_CLOSE,false"})
+    void resetDoesNotCompleteAResponse(ResponseMode responseMode, boolean isComplete) throws IOException {
         bench.run(500);
-        agent.always = how;
+        agent.mode = responseMode;
         agent.drain();
         bench.run(3000);
-        assertEquals(isWhole, bench.drainedAt >= 0);
-        assertTrue(agent.asked <= 3000 / 40, agent.asked + " calls");
-        agent.always = Speech.WHOLE;
-        bench.until(() -> bench.drainedAt >= 0, 1000);
+        assertEquals(isComplete, bench.drainedAt >= 0);
+        assertTrue(agent.callsReceived <= 3000 / 40, agent.callsReceived + " calls");
+        agent.mode = ResponseMode.COMPLETE;
+        bench.runUntil(() -> bench.drainedAt >= 0, 1000);
     }
 
-    /** Guards against a spin at an agent that ends each of its answers by closing. */
+    /** Prevents a busy loop of calls to an agent that closes the connection after each response. */
     @Test
-    void anAgentThatClosesAfterEachAnswerIsAskedNoMoreOften() throws IOException {
-        agent.always = Speech.UNTIL_THE_END;
+    void agentThatClosesAfterEachResponseIsCalledNoMoreOften() throws IOException {
+        agent.mode = ResponseMode.UNTIL_CLOSE;
         bench.run(60_000);
-        assertTrue(agent.asked <= 26, agent.asked + " calls a minute");
+        assertTrue(agent.callsReceived <= 26, agent.callsReceived + " calls a minute");
     }
 
-    /** The old agent says what there was while the new one is refused; that is no word of the new one. */
+    /**
+     * The old agent reports its list while connections to the new one are refused; that says nothing about the new
+     * agent's list.
+     */
     @Test
-    void theFirstCallAtANewAgentAsksWhatThereIsNow() throws IOException {
+    void firstCallToANewAgentAsksForTheCurrentList() throws IOException {
         WatchBench.Agent next = bench.new Agent();
-        next.cutOff(true);
+        next.stopAccepting(true);
         bench.watch.moveTo(next.address());
         bench.run(3200);
-        next.forgets = true;
-        next.isDown = true;
-        next.comeBack();
+        next.dropsCalls = true;
+        next.isSilent = true;
+        next.acceptAgain();
         bench.run(300);
-        next.isDown = false;
+        next.isSilent = false;
         next.drain();
         long from = bench.now;
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
-        assertTrue(bench.drainedAt <= from + SENDS_GO_ON_MS, "known after " + (bench.drainedAt - from) + " ms");
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
+        assertTrue(bench.drainedAt <= from + SENDS_ALLOWED_MS, "known after " + (bench.drainedAt - from) + " ms");
     }
 
-    /** After SIGHUP the new agent may be behind, or count otherwise: what it has is known 4 s later, and not before it is new. */
+    /**
+     * After SIGHUP the new agent may be behind, or number its versions differently: what it has is known 4 s later, and
+     * an older list is not applied before that.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void anAgentWithAnOlderVersionIsBehindAtFirstAndThenCountsOtherwise(boolean catchesUp) throws IOException {
+    void agentWithAnOlderVersionMayCatchUpBeforeItsListIsAccepted(boolean catchesUp) throws IOException {
         agent.drain();
         agent.generation = 40;
-        bench.until(() -> bench.group.generation() == 40, 5000);
+        bench.runUntil(() -> bench.group.generation() == 40, 5000);
         bench.drainedAt = -1;
         WatchBench.Agent next = bench.new Agent();
         next.generation = 5;
         long moved = bench.now;
         bench.watch.moveTo(next.address());
         bench.run(2000);
-        assertEquals(40, bench.group.generation(), "nothing older is taken");
+        assertEquals(40, bench.group.generation(), "an older list is not applied");
         if (catchesUp) {
             next.generation = 41;
         }
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
         assertTrue(
-                bench.drainedAt <= moved + 4000 + SENDS_GO_ON_MS,
+                bench.drainedAt <= moved + 4000 + SENDS_ALLOWED_MS,
                 "known " + (bench.drainedAt - moved) + " ms after the move");
         assertEquals(next.generation, bench.group.generation());
-        assertTrue(next.asked <= 40, next.asked + " calls");
+        assertTrue(next.callsReceived <= 40, next.callsReceived + " calls");
     }
 
-    /** Whatever the agent gets at the return of discovery counts at once, so no pause between calls may be long. */
+    /** What the agent has when discovery returns is deemed known at once, so no delay between calls may be long. */
     @ParameterizedTest
     @CsvSource({"8000,false", "8000,true", "1200,true", "4100,false", "7300,true", "9990,true", "30000,true"})
-    void atTheReturnOfDiscoveryTheListIsAskedForSoon(long away, boolean forgets) throws IOException {
+    void listIsRequestedSoonAfterDiscoveryReturns(long awayMs, boolean dropsCalls) throws IOException {
         bench.run(200);
-        agent.forgets = forgets;
-        agent.isDown = true;
-        // Its open call is one that fell silent; those after it are at stake here.
-        long counts = Math.max(bench.now + away, forgets ? bench.now + SILENCE_MS : 0);
-        int before = agent.asked;
-        bench.run(away);
-        assertTrue(agent.asked - before <= 2 + away / 300, agent.asked - before + " calls in vain");
-        agent.isDown = false;
+        agent.dropsCalls = dropsCalls;
+        agent.isSilent = true;
+        // The pending call is on a connection that fell silent; this test is about the calls after it.
+        long deemedKnownAt = Math.max(bench.now + awayMs, dropsCalls ? bench.now + DEEMED_KNOWN_MS : 0);
+        int before = agent.callsReceived;
+        bench.run(awayMs);
+        assertTrue(agent.callsReceived - before <= 2 + awayMs / 300, agent.callsReceived - before + " failed calls");
+        agent.isSilent = false;
         agent.drain();
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
-        assertTrue(bench.drainedAt <= counts + SENDS_GO_ON_MS, "known at " + bench.drainedAt + ", counts at " + counts);
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
+        assertTrue(
+                bench.drainedAt <= deemedKnownAt + SENDS_ALLOWED_MS,
+                "known at " + bench.drainedAt + ", deemed known at " + deemedKnownAt);
     }
 
-    /** An agent that refuses connections costs a call now and then, and is found soon after it is there again. */
+    /** An agent that refuses connections is called only now and then, and is found soon after its return. */
     @ParameterizedTest
     @ValueSource(longs = {3000, 4700, 8000, 9990, 16_200})
-    void anAgentThatIsAwayIsAskedSoonAfterItsReturnAndNotInASpin(long away) throws IOException {
+    void unavailableAgentIsRetriedWithoutABusyLoopAndCalledSoonAfterItsReturn(long awayMs) throws IOException {
         WatchBench.Agent next = bench.new Agent();
         java.net.InetSocketAddress address = next.address();
         next.close();
-        agent.breakOpenOnes(Speech.RESET);
+        agent.breakOpenConnections(ResponseMode.RESET);
         bench.watch.moveTo(address);
-        bench.run(away);
-        long failures = bench.counted("discovery_failures");
-        assertTrue(failures <= away / 80, failures + " tries");
+        bench.run(awayMs);
+        long failures = bench.counter("discovery_failures");
+        assertTrue(failures <= awayMs / 80, failures + " tries");
         WatchBench.Agent back = bench.new Agent(address);
         back.drain();
-        long counts = bench.now;
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
+        long deemedKnownAt = bench.now;
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
         assertTrue(
-                bench.drainedAt <= counts + SENDS_GO_ON_MS,
-                "known " + (bench.drainedAt - counts) + " ms after the return");
+                bench.drainedAt <= deemedKnownAt + SENDS_ALLOWED_MS,
+                "known " + (bench.drainedAt - deemedKnownAt) + " ms after the return");
     }
 
-    /** After SIGHUP what the new agent has counts 4 s later, though it be silent at first. */
+    /** After SIGHUP the new agent's list is deemed known 4 s later, even if that agent is silent at first. */
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 3900})
-    void afterAMoveTheNewAgentsListIsKnownInTime(long silent) throws IOException {
+    void newAgentsListIsKnownInTimeAfterAnAddressChange(long silent) throws IOException {
         WatchBench.Agent next = bench.new Agent();
-        next.isDown = silent > 0;
-        next.forgets = true;
+        next.isSilent = silent > 0;
+        next.dropsCalls = true;
         next.drain();
         long moved = bench.now;
         bench.watch.moveTo(next.address());
         bench.run(silent);
-        next.isDown = false;
-        bench.until(() -> bench.drainedAt >= 0, 10_000);
+        next.isSilent = false;
+        bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
         assertTrue(
-                bench.drainedAt <= moved + 4000 + SENDS_GO_ON_MS,
+                bench.drainedAt <= moved + 4000 + SENDS_ALLOWED_MS,
                 "known " + (bench.drainedAt - moved) + " ms after the move");
     }
 
-    /** The watch's very first call says what the list is now: a process that starts must not wait for the next change. */
+    /** The first call of a watch returns the current list: a process that starts must not wait for the next change. */
     @Test
-    void theFirstCallOfAConnectionIsAnsweredAtOnce() throws IOException {
-        bench.until(() -> agent.asked > 1, 100);
+    void firstCallOfAConnectionIsAnsweredAtOnce() throws IOException {
+        bench.runUntil(() -> agent.callsReceived > 1, 100);
         assertEquals(1, agent.connections);
     }
 
     /**
-     * The process stands still while the agent answers; then the call's timer is due before any socket is looked at. Guards
-     * against a connection that is given up with its answer unread, and a list that stays old until the next one is up.
+     * The process is suspended while the agent answers, so that the timer of the call fires before any socket is read.
+     * The connection must not be given up with its response unread, or the list would stay old until the next
+     * connection is up.
      */
     @ParameterizedTest
     @ValueSource(longs = {4200, 10_000})
-    void afterAStandStillWhatCameIsReadBeforeTheCallIsGivenUp(long ms) throws IOException {
+    void pendingInputIsReadAfterASuspensionBeforeTheCallIsGivenUp(long ms) throws IOException {
         bench.run(500);
         agent.drain();
-        bench.freeze(ms);
-        assertEquals(bench.now, bench.drainedAt, "known with the first thing that is done");
-        bench.turn();
+        bench.suspendProcess(ms);
+        assertEquals(bench.now, bench.drainedAt, "known before anything else runs");
+        bench.runPending();
         assertEquals(1, agent.connections);
     }
 
-    /** A call that is open at that moment has waited and brought nothing; one that was answered just then has not. */
+    /**
+     * A call that was pending at that moment proves that there is nothing newer; one that was answered just then does
+     * not.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void theListIsFreshOnceTheAgentHadTheChanceToSayMore(boolean uponAnAnswer) throws IOException {
+    void listIsFreshOnceTheAgentCouldHaveSentMore(boolean uponAResponse) throws IOException {
         bench.run(500);
-        int before = agent.asked;
-        int[] askedWhenFresh = {-1};
-        Runnable refresh = () -> bench.watch.refresh(() -> askedWhenFresh[0] = agent.asked);
-        if (uponAnAnswer) {
-            bench.onAnswer = () -> {
-                bench.onAnswer = () -> {};
+        int before = agent.callsReceived;
+        int[] callsWhenFresh = {-1};
+        Runnable refresh = () -> bench.watch.refresh(() -> callsWhenFresh[0] = agent.callsReceived);
+        if (uponAResponse) {
+            bench.onResponse = () -> {
+                bench.onResponse = () -> {};
                 refresh.run();
             };
-            bench.until(() -> askedWhenFresh[0] >= 0, 4000);
-            assertEquals(before + 1, askedWhenFresh[0], "asked anew what there is now");
+            bench.runUntil(() -> callsWhenFresh[0] >= 0, 4000);
+            assertEquals(before + 1, callsWhenFresh[0], "one more call for the current list");
         } else {
             refresh.run();
-            assertEquals(before, askedWhenFresh[0], "at once");
+            assertEquals(before, callsWhenFresh[0], "at once");
         }
     }
 
-    /** Guards against requests that wait for good where discovery is away. */
+    /** Prevents requests from waiting permanently when discovery is unavailable. */
     @Test
-    void whereTheAgentIsSilentWhoeverWaitsForItGoesOnSoon() throws IOException {
-        agent.isDown = true;
+    void waitersAreReleasedSoonWhenTheAgentIsSilent() throws IOException {
+        agent.isSilent = true;
         bench.run(3500);
-        boolean[] gone = {false};
-        bench.watch.refresh(() -> gone[0] = true);
-        assertEquals(false, gone[0]);
-        bench.until(() -> gone[0], 250);
+        boolean[] released = {false};
+        bench.watch.refresh(() -> released[0] = true);
+        assertEquals(false, released[0]);
+        bench.runUntil(() -> released[0], 250);
     }
 
-    /** The price of a router where nothing changes. */
+    /** The cost of a router without changes. */
     @Test
-    void aQuietWatchAsksSeldom() throws IOException {
+    void idleWatchCallsSeldom() throws IOException {
         bench.run(60_000);
-        assertTrue(agent.asked >= 20 && agent.asked <= 24, agent.asked + " calls a minute");
+        assertTrue(agent.callsReceived >= 20 && agent.callsReceived <= 24, agent.callsReceived + " calls a minute");
         assertEquals(1, agent.connections);
     }
 
-    /** Forty routers begin in the same moment, and are all told of a change in the same moment. */
+    /** Forty routers start at the same moment and receive a change at the same moment. */
     @Test
-    void manyRoutersDoNotAskInStep() throws IOException {
-        int[] askedIn100ms = new int[400];
+    void manyRoutersDoNotCallInStep() throws IOException {
+        int[] callsIn100ms = new int[400];
         for (int router = 0; router < 40; router++) {
             try (WatchBench other = new WatchBench(router)) {
                 other.watch.start();
@@ -325,12 +351,12 @@
                 other.agents.get(0).drain();
                 while (other.now < 35_000) {
                     other.run(50);
-                    askedIn100ms[(int) other.agents.get(0).askedAt / 100] +=
-                            other.agents.get(0).askedAt > other.now - 50 ? 1 : 0;
+                    callsIn100ms[(int) other.agents.get(0).lastCallAt / 100] +=
+                            other.agents.get(0).lastCallAt > other.now - 50 ? 1 : 0;
                 }
             }
         }
-        int most = java.util.Arrays.stream(askedIn100ms).skip(200).max().orElseThrow();
-        assertTrue(most <= 10, most + " of 40 in a tenth of a second");
+        int maxCalls = java.util.Arrays.stream(callsIn100ms).skip(200).max().orElseThrow();
+        assertTrue(maxCalls <= 10, maxCalls + " of 40 in a tenth of a second");
     }
 }
--- a/router/src/test/java/stagepier/discovery/FreshListWaitersTest.java
+++ b/router/src/test/java/stagepier/discovery/FreshListWaitersTest.java
@@ -9,32 +9,32 @@
 import org.junit.jupiter.api.Test;
 
 class FreshListWaitersTest {
-    private static final int MOST_MS = 200;
+    private static final int MAX_WAIT_MS = 200;
 
     private final EmbeddedChannel time = new EmbeddedChannel();
-    private final List<String> done = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
     private final FreshListWaiters waiters =
-            new FreshListWaiters(time.eventLoop(), MOST_MS, () -> done.add("last look"));
+            new FreshListWaiters(time.eventLoop(), MAX_WAIT_MS, () -> executed.add("final read"));
 
     @Test
-    void aFaultInOneKeepsNoOtherWaiting() {
+    void exceptionInOneWaiterDoesNotBlockTheOthers() {
         waiters.add(() -> {
-            throw new IllegalStateException("a fault that a test makes");
+            throw new IllegalStateException("exception thrown by a test");
         });
-        waiters.add(() -> done.add("second"));
+        waiters.add(() -> executed.add("second"));
         waiters.release();
-        assertEquals(List.of("second"), done);
+        assertEquals(List.of("second"), executed);
     }
 
     @Test
-    void allRunOnceAfterALastLookWhenTheTimeIsUp() {
+    void allWaitersRunOnceAfterAFinalReadAtTheTimeout() {
         time.freezeTime();
-        waiters.add(() -> done.add("one"));
-        waiters.add(() -> done.add("two"));
-        time.advanceTimeBy(MOST_MS, TimeUnit.MILLISECONDS);
+        waiters.add(() -> executed.add("one"));
+        waiters.add(() -> executed.add("two"));
+        time.advanceTimeBy(MAX_WAIT_MS, TimeUnit.MILLISECONDS);
         time.runScheduledPendingTasks();
-        time.advanceTimeBy(MOST_MS, TimeUnit.MILLISECONDS);
+        time.advanceTimeBy(MAX_WAIT_MS, TimeUnit.MILLISECONDS);
         time.runScheduledPendingTasks();
-        assertEquals(List.of("last look", "one", "two"), done);
+        assertEquals(List.of("final read", "one", "two"), executed);
     }
 }
--- a/router/src/test/java/stagepier/discovery/HostGroupTest.java
+++ b/router/src/test/java/stagepier/discovery/HostGroupTest.java
@@ -15,12 +15,12 @@
 import stagepier.exchange.Clock;
 import stagepier.settings.SettingsParser;
 
-/** Guards against a message of discovery that takes servers away since it was misread. */
+/** Checks how messages of discovery change the list. A misread message must not remove servers. */
 class HostGroupTest {
     private final HostGroup group =
             new HostGroup(new SettingsParser.Names(List.of("c"), List.of(), List.of("a"), List.of("m")), new Clock());
 
-    private HostGroup.Change tell(long generation, boolean reset, String... entries) {
+    private HostGroup.Change applyMessage(long generation, boolean reset, String... entries) {
         return group.apply(JsonParser.parseString("{\"generation\":" + generation + ",\"reset\":" + reset
                 + ",\"instances\":[" + String.join(",", entries) + "]}"));
     }
@@ -32,80 +32,81 @@
     }
 
     @Test
-    void aWholeListTellsWhoLeftAndChangesOnlyWhatTheyName() {
+    void wholeListReportsRemovedServersAndAChangeOnlyTheServersItNames() {
         assertEquals(
                 2.5,
-                tell(1, true, entry(1, "up"), entry(2, "up"))
+                applyMessage(1, true, entry(1, "up"), entry(2, "up"))
                         .hosts()
                         .get(0)
                         .member()
                         .startedAt());
-        HostGroup.Change change = tell(2, false, entry(1, "draining"));
+        HostGroup.Change change = applyMessage(2, false, entry(1, "draining"));
         assertEquals(Api.MemberState.DRAINING, change.hosts().get(0).member().state());
         assertEquals(List.of(), change.left());
         assertEquals(
                 List.of(1L, 2L),
-                tell(3, true, entry(3, "up")).left().stream()
+                applyMessage(3, true, entry(3, "up")).left().stream()
                         .map(h -> h.member().id())
                         .toList());
-        tell(4, false, entry(3, "removed"));
-        assertFalse(tell(5, true).left().iterator().hasNext());
+        applyMessage(4, false, entry(3, "removed"));
+        assertFalse(applyMessage(5, true).left().iterator().hasNext());
     }
 
-    /** Guards against an answer that names a server twice: the last word counts, and nobody is left over. */
+    /** For an answer that names a server twice, the last entry is in force and no other one is left over. */
     @Test
-    void ofAServerThatIsListedTwiceTheLastWordCounts() {
-        HostGroup.Change change = tell(1, true, entry(1, "up"), entry(1, "draining"));
+    void lastEntryOfAServerThatIsListedTwiceIsInForce() {
+        HostGroup.Change change = applyMessage(1, true, entry(1, "up"), entry(1, "draining"));
         assertEquals(
                 Api.MemberState.DRAINING,
                 change.hosts().get(change.hosts().size() - 1).member().state());
-        assertEquals(1, tell(2, true).left().size());
+        assertEquals(1, applyMessage(2, true).left().size());
     }
 
-    /** Guards against servers that come back or stay unknown since an agent counts otherwise. */
+    /** Prevents servers from coming back or staying unknown when an agent numbers its versions differently. */
     @Test
-    void changesUpToAnOlderVersionAreRefusedAndAWholeListOnlyWhileItsAgentMayBeBehind() {
-        tell(7, true, entry(1, "up"));
+    void changesOfAnOlderVersionAreOutdatedAndAWholeListOnlyWhileItsAgentMayBeBehind() {
+        applyMessage(7, true, entry(1, "up"));
         for (boolean whole : new boolean[] {false, true}) {
             var older = JsonParser.parseString("{\"generation\":6,\"reset\":" + whole + ",\"instances\":[]}");
             var newer = JsonParser.parseString("{\"generation\":7,\"reset\":" + whole + ",\"instances\":[]}");
-            assertTrue(group.goesBack(older, true));
-            assertEquals(!whole, group.goesBack(older, false));
-            assertFalse(group.goesBack(newer, true));
+            assertTrue(group.isOutdated(older, true));
+            assertEquals(!whole, group.isOutdated(older, false));
+            assertFalse(group.isOutdated(newer, true));
         }
     }
 
-    /** Guards against a list that ends a ban, and against a server put back that counts as warm. */
+    /** A list must not end a ban, and a restored server must not count as warm. */
     @Test
-    void whoIsOutDrainsWhateverTheListSaysAndWhoIsBackStartedThen() {
-        tell(1, true, entry(1, "up"), entry(2, "up"));
+    void bannedServerDrainsWhateverTheListSaysAndRestoredServerStartedThen() {
+        applyMessage(1, true, entry(1, "up"), entry(2, "up"));
         assertEquals(
                 List.of(1L), states(group.apply(List.of(new Ban("s-00000001", true, 100))), Api.MemberState.DRAINING));
         assertEquals(
                 List.of(),
                 group.apply(List.of(new Ban("s-00000001", true, 100))).hosts(),
-                "no news");
-        assertEquals(List.of(1L), states(tell(2, false, entry(1, "up")), Api.MemberState.DRAINING));
-        assertEquals(List.of(1L), states(tell(3, true, entry(1, "up"), entry(2, "up")), Api.MemberState.DRAINING));
-        tell(4, false, entry(1, "removed"));
-        assertEquals(List.of(1L), states(tell(5, false, entry(1, "up")), Api.MemberState.DRAINING));
+                "the ban is not new");
+        assertEquals(List.of(1L), states(applyMessage(2, false, entry(1, "up")), Api.MemberState.DRAINING));
+        assertEquals(
+                List.of(1L), states(applyMessage(3, true, entry(1, "up"), entry(2, "up")), Api.MemberState.DRAINING));
+        applyMessage(4, false, entry(1, "removed"));
+        assertEquals(List.of(1L), states(applyMessage(5, false, entry(1, "up")), Api.MemberState.DRAINING));
         HostGroup.Change back = group.apply(List.of(new Ban("s-00000001", false, 101)));
         assertEquals(List.of(1L), states(back, Api.MemberState.READY));
         assertEquals(101, back.hosts().get(0).member().startedAt());
         assertEquals(
                 101,
-                tell(6, false, entry(1, "up")).hosts().get(0).member().startedAt(),
-                "the list tells an older start");
+                applyMessage(6, false, entry(1, "up")).hosts().get(0).member().startedAt(),
+                "the list reports an older start");
     }
 
     @Test
-    void whoWasNeverListedIsNotKnownAndWhoIsGoneIs() {
-        tell(1, true, entry(1, "up"));
-        tell(2, false, entry(1, "removed"));
+    void serverThatWasNeverListedIsUnknownAndARemovedOneIsKnown() {
+        applyMessage(1, true, entry(1, "up"));
+        applyMessage(2, false, entry(1, "removed"));
         assertTrue(group.knows("s-00000001"));
         assertFalse(group.knows("s-00000002"));
         group.apply(List.of(new Ban("s-00000002", true, 5)));
-        assertTrue(group.knows("s-00000002"), "taken out by a process that knew it");
+        assertTrue(group.knows("s-00000002"), "banned by a process that knew it");
     }
 
     private static List<Long> states(HostGroup.Change change, Api.MemberState state) {
@@ -127,10 +128,10 @@
                 "{\"generation\":9,\"reset\":true,\"instances\":[{\"instanceId\":\"s-1\",\"lifecycle\":\"odd\"}]}",
                 "{\"generation\":9,\"reset\":true,\"instances\":[{\"instanceId\":\"s\",\"lifecycle\":\"up\",\"hostPort\":\"a:1\"}]}"
             })
-    void aMessageThatMakesNoSenseLeavesTheListAsItWas(String message) {
-        tell(1, true, entry(1, "up"));
+    void malformedMessageLeavesTheListUnchanged(String message) {
+        applyMessage(1, true, entry(1, "up"));
         assertThrows(IllegalArgumentException.class, () -> group.apply(JsonParser.parseString(message)));
         assertEquals(1, group.generation());
-        assertEquals(1, tell(2, true).left().size(), "still known");
+        assertEquals(1, applyMessage(2, true).left().size(), "still in the list");
     }
 }
--- a/router/src/test/java/stagepier/discovery/SharedServiceTest.java
+++ b/router/src/test/java/stagepier/discovery/SharedServiceTest.java
@@ -11,44 +11,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import stagepier.discovery.WatchBench.Speech;
+import stagepier.discovery.WatchBench.ResponseMode;
 
 /**
- * Many routers that ask one service for their list. Each call costs the service work, whether or not it is turned away; what
- * it could not reach in time is turned away at once. A change counts as told 6 s after the service had it.
+ * Many routers that call one service for their list. Each call costs the service work, whether or not it is rejected; a
+ * call that it cannot answer in time is rejected at once. A change is deemed known 6 s after the service had it.
  */
 @Timeout(60)
 class SharedServiceTest {
-    private static final int COUNTS_MS = 6000;
-    /** The shortest drain grace of a known deployment, less the loop's own delay. */
-    private static final int SENDS_GO_ON_MS = 300;
+    private static final int DEEMED_KNOWN_MS = 6000;
+    /** The shortest drain grace of a known deployment, minus the delay of the event loop. */
+    private static final int SENDS_ALLOWED_MS = 300;
 
     private static final int ROUTERS = 20;
-    private static final int CALL_COSTS_MS = 74;
-    private static final int TURNS_AWAY_FROM_MS = 2000;
+    private static final int CALL_COST_MS = 74;
+    private static final int REJECTS_ABOVE_MS = 2000;
 
-    /** The work that one service has before it, which all routers add to. */
-    private static final class SharedWork {
+    /** The pending work of the service, shared by all routers. */
+    private static final class ServiceQueue {
         private double backlogMs;
         private long at;
 
-        /** Takes up a call at that moment; returns whether it is turned away. */
-        boolean turnsAway(long now) {
-            backlogMs = Math.max(0, backlogMs - (now - at)) + CALL_COSTS_MS;
+        /** Accepts a call at this moment; returns whether it is rejected. */
+        boolean rejectsCall(long now) {
+            backlogMs = Math.max(0, backlogMs - (now - at)) + CALL_COST_MS;
             at = now;
-            return backlogMs > TURNS_AWAY_FROM_MS;
+            return backlogMs > REJECTS_ABOVE_MS;
         }
     }
 
-    /** A fleet whose routers all begin in the same moment, each with a watch of its own at the one service. */
+    /** A fleet whose routers all start at the same moment, each with its own watch on the one service. */
     private static final class RouterFleet {
         private final List<WatchBench> benches = new ArrayList<>();
-        private final SharedWork work = new SharedWork();
+        private final ServiceQueue queue = new ServiceQueue();
 
         RouterFleet() throws IOException {
             for (int seed = 0; seed < ROUTERS; seed++) {
                 WatchBench bench = new WatchBench(seed, WatchTimes.ofSharedService(0.4));
-                bench.agents.get(0).turnsAway = work::turnsAway;
+                bench.agents.get(0).rejectsCall = queue::rejectsCall;
                 benches.add(bench);
                 bench.watch.start();
             }
@@ -66,22 +66,24 @@
             benches.forEach(bench -> bench.agents.get(0).drain());
         }
 
-        void goDown(boolean isDown) throws IOException {
+        void setDown(boolean isDown) throws IOException {
             for (WatchBench bench : benches) {
-                bench.agents.get(0).breakOpenOnes(Speech.RESET);
-                bench.agents.get(0).refuses = isDown;
+                bench.agents.get(0).breakOpenConnections(ResponseMode.RESET);
+                bench.agents.get(0).rejectsAll = isDown;
             }
         }
 
-        long latestKnown() {
+        long lastKnownAt() {
             return benches.stream()
                     .mapToLong(bench -> bench.drainedAt < 0 ? Long.MAX_VALUE : bench.drainedAt)
                     .max()
                     .orElseThrow();
         }
 
-        int asked() {
-            return benches.stream().mapToInt(bench -> bench.agents.get(0).asked).sum();
+        int callsReceived() {
+            return benches.stream()
+                    .mapToInt(bench -> bench.agents.get(0).callsReceived)
+                    .sum();
         }
 
         void close() throws IOException {
@@ -91,110 +93,118 @@
         }
     }
 
-    private void assertKnownInTime(RouterFleet fleet, long from) {
+    private void assertKnownInTime(RouterFleet fleet, long since) {
         assertTrue(
-                fleet.latestKnown() <= from + COUNTS_MS + SENDS_GO_ON_MS,
-                "the last router knows " + (fleet.latestKnown() - from) + " ms after the change");
+                fleet.lastKnownAt() <= since + DEEMED_KNOWN_MS + SENDS_ALLOWED_MS,
+                "the last router knows " + (fleet.lastKnownAt() - since) + " ms after the change");
     }
 
-    /** Guards against a fleet whose retries keep the service overloaded for good, so that most of it never hears of a change. */
+    /**
+     * Prevents retries of a fleet from keeping the service overloaded permanently, so that most routers never learn of
+     * a change.
+     */
     @ParameterizedTest
     @ValueSource(longs = {100, 1500, 12_000})
-    void aFleetThatStartsAtOnceHearsOfAChange(long after) throws IOException {
+    void fleetThatStartsAtOnceLearnsOfAChangeInTime(long after) throws IOException {
         RouterFleet fleet = new RouterFleet();
         try {
             fleet.run(after);
             fleet.change();
-            fleet.run(COUNTS_MS + 2000);
+            fleet.run(DEEMED_KNOWN_MS + 2000);
             assertKnownInTime(fleet, after);
         } finally {
             fleet.close();
         }
     }
 
-    /** All watches end as the service goes down, and all routers call again at its return. */
+    /** All watches end when the service goes down, and all routers call again when it returns. */
     @ParameterizedTest
     @CsvSource({"3000", "5000", "8000"})
-    void atTheReturnOfTheServiceAFleetHearsOfAChange(long down) throws IOException {
+    void fleetLearnsOfAChangeInTimeAfterTheServiceReturns(long downMs) throws IOException {
         RouterFleet fleet = new RouterFleet();
         try {
             fleet.run(2000);
-            fleet.goDown(true);
-            int before = fleet.asked();
-            fleet.run(down);
+            fleet.setDown(true);
+            int before = fleet.callsReceived();
+            fleet.run(downMs);
             assertTrue(
-                    fleet.asked() - before <= ROUTERS * (3 + down / 1200), fleet.asked() - before + " calls in vain");
-            fleet.goDown(false);
+                    fleet.callsReceived() - before <= ROUTERS * (3 + downMs / 1200),
+                    fleet.callsReceived() - before + " failed calls");
+            fleet.setDown(false);
             fleet.change();
-            fleet.run(COUNTS_MS + 2000);
-            assertKnownInTime(fleet, 2000 + down);
+            fleet.run(DEEMED_KNOWN_MS + 2000);
+            assertKnownInTime(fleet, 2000 + downMs);
         } finally {
             fleet.close();
         }
     }
 
-    /** The first call waits for what is new: another one before it would cost the service as much again. */
+    /** The first call waits for changes: another call before it would double the cost for the service. */
     @Test
-    void aNewWatchCostsTheServiceOneCall() throws IOException {
+    void newWatchCostsTheServiceOneCall() throws IOException {
         try (WatchBench bench = new WatchBench(1, WatchTimes.ofSharedService(1))) {
             bench.watch.start();
             bench.run(1000);
-            assertEquals(1, bench.agents.get(0).asked);
+            assertEquals(1, bench.agents.get(0).callsReceived);
         }
     }
 
-    /** The answer has to wait for its turn: a call that is given up before that is work for nothing. */
+    /** The response has to wait in the queue of the service: a call that is given up before that is wasted work. */
     @ParameterizedTest
     @ValueSource(ints = {400, 900})
-    void anAnswerThatWaitsForItsTurnIsWaitedFor(int turnMs) throws IOException {
+    void watchWaitsForAQueuedResponse(int queueDelayMs) throws IOException {
         try (WatchBench bench = new WatchBench(2, WatchTimes.ofSharedService(0.4))) {
             WatchBench.Agent service = bench.agents.get(0);
-            service.turnMs = turnMs;
+            service.queueDelayMs = queueDelayMs;
             bench.watch.start();
             bench.run(500);
             service.drain();
-            bench.run(turnMs + 50);
-            assertTrue(bench.drainedAt >= 0, "known with its turn");
+            bench.run(queueDelayMs + 50);
+            assertTrue(bench.drainedAt >= 0, "known when the queued response arrives");
             assertEquals(1, service.connections);
         }
     }
 
-    /** A watch that falls silent, and the one after it as well, are both found within the clock. */
+    /** Two silent connections in a row are both detected within the 6 s. */
     @Test
-    void twoSilentConnectionsInARowAreFoundInTime() throws IOException {
+    void twoSilentConnectionsInARowAreDetectedInTime() throws IOException {
         try (WatchBench bench = new WatchBench(4, WatchTimes.ofSharedService(0.4))) {
             WatchBench.Agent service = bench.agents.get(0);
             bench.watch.start();
             bench.run(500);
-            service.breakOpenOnes(Speech.NOTHING);
-            bench.until(() -> service.connections > 1, 4000);
+            service.breakOpenConnections(ResponseMode.SILENT);
+            bench.runUntil(() -> service.connections > 1, 4000);
             bench.run(50);
-            service.breakOpenOnes(Speech.NOTHING);
+            service.breakOpenConnections(ResponseMode.SILENT);
             long silentFrom = bench.now;
             service.drain();
-            bench.until(() -> bench.drainedAt >= 0, 10_000);
+            bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
             assertTrue(
-                    bench.drainedAt <= silentFrom + COUNTS_MS, "known after " + (bench.drainedAt - silentFrom) + " ms");
+                    bench.drainedAt <= silentFrom + DEEMED_KNOWN_MS,
+                    "known after " + (bench.drainedAt - silentFrom) + " ms");
         }
     }
 
-    /** After a reload an instance of the service may be behind: it is asked once that time is over, whatever the pause was. */
+    /**
+     * After a reload an instance of the service may be behind: it is called as soon as the time to catch up is over,
+     * whatever the retry delay was.
+     */
     @Test
-    void afterAReloadAnInstanceThatCountsOtherwiseIsTakenInTime() throws IOException {
+    void listOfAnInstanceWithOtherVersionNumbersIsAppliedInTimeAfterAReload() throws IOException {
         try (WatchBench bench = new WatchBench(5, WatchTimes.ofSharedService(0.4))) {
             WatchBench.Agent old = bench.agents.get(0);
             bench.watch.start();
             old.drain();
             old.generation = 40;
-            bench.until(() -> bench.group.generation() == 40, 5000);
+            bench.runUntil(() -> bench.group.generation() == 40, 5000);
             bench.drainedAt = -1;
             WatchBench.Agent next = bench.new Agent();
             next.generation = 5;
             long moved = bench.now;
             bench.watch.moveTo(next.address());
-            bench.until(() -> bench.drainedAt >= 0, 10_000);
+            bench.runUntil(() -> bench.drainedAt >= 0, 10_000);
             assertTrue(
-                    bench.drainedAt <= moved + 4000 + SENDS_GO_ON_MS,
+                    bench.drainedAt <= moved + 4000 + SENDS_ALLOWED_MS,
                     "known " + (bench.drainedAt - moved) + " ms after");
             assertEquals(5, bench.group.generation());
         }
--- a/router/src/test/java/stagepier/discovery/StartTimesTest.java
+++ b/router/src/test/java/stagepier/discovery/StartTimesTest.java
@@ -8,17 +8,17 @@
 import stagepier.exchange.ManualClock;
 import stagepier.settings.SettingsParser;
 
-/** The age of a cache server where the wall clock was stepped before this process began. */
+/** Checks the age of a cache server when the wall clock was stepped before this process started. */
 class StartTimesTest {
     private static final double HOUR = 3600;
 
     private final ManualClock clock = new ManualClock();
-    private final double began = clock.now();
+    private final double processStart = clock.now();
     private final HostGroup group =
             new HostGroup(new SettingsParser.Names(List.of("c"), List.of(), List.of("a"), List.of("m")), clock);
 
-    /** The start, by the clock here, of the one server that a list of discovery names. */
-    private double fresh(long generation, int id, double startedAt) {
+    /** Returns the local start time of the one server that a list received from discovery names. */
+    private double startAfterFreshList(long generation, int id, double startedAt) {
         return group.applyFresh(JsonParser.parseString(message(generation, id, startedAt)))
                 .hosts()
                 .get(0)
@@ -33,32 +33,32 @@
     }
 
     @Test
-    void onARightClockTheListIsBelieved() {
-        assertEquals(began - HOUR, fresh(1, 1, began - HOUR));
+    void listedStartIsUsedWithACorrectClock() {
+        assertEquals(processStart - HOUR, startAfterFreshList(1, 1, processStart - HOUR));
         clock.pass(10);
-        assertEquals(began + 9.5, fresh(2, 2, began + 9.5));
-        assertEquals(0, fresh(3, 3, 0), "long ago");
+        assertEquals(processStart + 9.5, startAfterFreshList(2, 2, processStart + 9.5));
+        assertEquals(0, startAfterFreshList(3, 3, 0), "long ago");
     }
 
     @Test
-    void withAWallClockThatIsBehindAServerDoesNotStayColdUntilTheClockHasCaughtUp() {
-        assertEquals(began, fresh(1, 1, began + HOUR));
+    void serverDoesNotStayColdUntilAWallClockThatIsBehindHasCaughtUp() {
+        assertEquals(processStart, startAfterFreshList(1, 1, processStart + HOUR));
         clock.pass(30);
-        assertEquals(began, fresh(2, 1, began + HOUR), "it is the same start");
+        assertEquals(processStart, startAfterFreshList(2, 1, processStart + HOUR), "it is the same start");
     }
 
     @Test
-    void withAWallClockThatIsAheadAServerThatJoinsIsNotTakenForWarm() {
-        fresh(1, 1, 0);
+    void newServerDoesNotCountAsWarmWithAWallClockThatIsAhead() {
+        startAfterFreshList(1, 1, 0);
         clock.pass(20);
-        assertEquals(began - 1, fresh(2, 2, clock.now() - HOUR));
+        assertEquals(processStart - 1, startAfterFreshList(2, 2, clock.now() - HOUR));
         clock.pass(20);
-        assertEquals(began + 19, fresh(3, 2, clock.now() - HOUR), "it has started anew");
+        assertEquals(processStart + 19, startAfterFreshList(3, 2, clock.now() - HOUR), "it was restarted");
     }
 
     @Test
-    void aListThatMayBeOldSaysNothingOfWhoJoinedSince() {
+    void listThatMayBeOldDoesNotLimitLaterStartTimes() {
         group.apply(JsonParser.parseString(message(1, 1, 0)));
-        assertEquals(began - HOUR, fresh(2, 2, began - HOUR));
+        assertEquals(processStart - HOUR, startAfterFreshList(2, 2, processStart - HOUR));
     }
 }
--- a/router/src/test/java/stagepier/discovery/WatchBench.java
+++ b/router/src/test/java/stagepier/discovery/WatchBench.java
@@ -24,34 +24,36 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * A watch on a loop that the test turns by hand, in time that only the test moves on, against agents on real sockets that
- * the same thread plays. An agent answers as the protocol says, at once with what is newer and else when the wait is over,
- * unless it is told to be silent.
+ * Runs a watch on an event loop that the test steps manually, in virtual time, against agents on real sockets that the
+ * same thread simulates. An agent follows the protocol: it answers at once with anything newer, and otherwise at the
+ * end of the hold time, unless the test makes it silent.
  */
 final class WatchBench implements Closeable {
-    /** What an agent does with an answer that is due. */
-    enum Speech {
-        WHOLE,
-        NOTHING,
-        HALF_A_HEAD,
-        HEAD,
-        HALF_A_LIST,
+    /** How an agent sends a response that is due. */
+    enum ResponseMode {
+        COMPLETE,
+        SILENT,
+        HALF_HEADER,
+        HEADER_ONLY,
+        HALF_BODY,
         PIECES,
         RESET,
-        /** A byte now and then. */
+        /** One byte now and then. */
         DRIP,
-        /** Without a length: the whole list and the end, the whole list and a reset, half a list and the end. */
-        UNTIL_THE_END,
-        UNTIL_A_RESET,
-        CUT_BY_THE_END
+        /**
+         * These three send no length: the whole list and a close, the whole list and a reset, half a list and a close.
+         */
+        UNTIL_CLOSE,
+        UNTIL_RESET,
+        TRUNCATED_BY_CLOSE
     }
 
     static final int STEP_MS = 10;
-    private static final int PIECE = 24;
-    private static final int PIECE_EVERY_MS = 300;
-    private static final int DRIP_EVERY_MS = 900;
-    /** A watch goes on where the next call comes within this after the last answer. */
-    private static final int WATCH_GOES_ON_MS = 200;
+    private static final int PIECE_BYTES = 24;
+    private static final int PIECE_INTERVAL_MS = 300;
+    private static final int DRIP_INTERVAL_MS = 900;
+    /** A call continues a watch if it arrives within this time after the previous response. */
+    private static final int WATCH_CONTINUES_MS = 200;
 
     private static final byte[] UNAVAILABLE =
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -63,7 +65,7 @@
             new HostGroup(new SettingsParser.Names(List.of("c"), List.of(), List.of("a"), List.of("m")), new Clock());
     final List<Agent> agents = new ArrayList<>();
     final DiscoveryWatch watch;
-    /** When the drain became known to the router; -1 before. In milliseconds. */
+    /** When the drain became known to the router, in milliseconds; -1 before. */
     long drainedAt = -1;
 
     long now;
@@ -82,17 +84,17 @@
         watch = new DiscoveryWatch(loop, first.address(), times, group, this::changed, () -> {}, new Random(seed));
     }
 
-    /** What is done upon each answer. */
-    Runnable onAnswer = () -> {};
+    /** Runs upon each response. */
+    Runnable onResponse = () -> {};
 
     private void changed(HostGroup.Change change) {
-        onAnswer.run();
+        onResponse.run();
         if (drainedAt < 0 && change.hosts().stream().anyMatch(h -> h.member().state() == Api.MemberState.DRAINING)) {
             drainedAt = now;
         }
     }
 
-    /** Indented, as an agent may send it. */
+    /** Returns a list, indented as an agent may send it. */
     static String list(int generation, boolean reset, String lifecycle) {
         String entry = lifecycle.isEmpty() ? "" : """
                     {"instanceId": "s-00000001", "hostPort": "127.0.0.1:9", "zone": "a",
@@ -108,41 +110,41 @@
                 """.formatted(generation, reset, entry);
     }
 
-    /** Time goes by, and both sides act in it. */
+    /** Advances time while both sides run. */
     void run(long ms) throws IOException {
         for (long end = now + ms; now < end; ) {
             now += STEP_MS;
             ticker.advance(STEP_MS, TimeUnit.MILLISECONDS);
-            turn();
+            runPending();
         }
     }
 
-    /** Everything that can happen at this moment does. */
-    void turn() throws IOException {
+    /** Runs everything that can happen at this moment. */
+    void runPending() throws IOException {
         for (int i = 0; i < 4; i++) {
             loop.runNow();
             for (Agent agent : agents) {
-                agent.act();
+                agent.step();
             }
         }
     }
 
-    /** Time goes by in which the router's process stands still: timers are due before any socket is looked at. */
-    void freeze(long ms) throws IOException {
+    /** Advances time while the router's process is suspended: timers are due before any socket is read. */
+    void suspendProcess(long ms) throws IOException {
         for (long end = now + ms; now < end; ) {
             now += STEP_MS;
             ticker.advance(STEP_MS, TimeUnit.MILLISECONDS);
             for (Agent agent : agents) {
-                agent.act();
+                agent.step();
             }
         }
         loop.runNonBlockingTasks(0);
     }
 
-    void until(BooleanSupplier condition, long most) throws IOException {
-        for (long end = now + most; !condition.getAsBoolean(); ) {
+    void runUntil(BooleanSupplier condition, long timeoutMs) throws IOException {
+        for (long end = now + timeoutMs; !condition.getAsBoolean(); ) {
             if (now >= end) {
-                throw new AssertionError("not within " + most + " ms");
+                throw new AssertionError("condition not met within " + timeoutMs + " ms");
             }
             run(STEP_MS);
         }
@@ -157,64 +159,67 @@
         }
     }
 
-    long counted(String name) {
+    long counter(String name) {
         long[] found = {-1};
         watch.count((counter, value) -> found[0] = counter.equals(name) ? value : found[0]);
         return found[0];
     }
 
-    /** One connection and the call on it that waits, if one does. */
+    /** A connection and its pending call, if there is one. */
     private static final class Call {
         private final SocketChannel socket;
         private String head = "";
         private boolean isOpen;
         private int from;
-        private boolean asksAll;
-        private long until;
-        private byte[] rest = {};
+        private boolean wantsFullList;
+        private long holdEndsAt;
+        private byte[] remaining = {};
         private boolean drips;
         private long nextPieceAt;
-        private boolean dead;
-        private boolean isLost;
-        /** A call on it that waits for what is new has been answered, and when that was; one that does not wait is no watch. */
+        private boolean broken;
+        private boolean dropped;
+        /**
+         * A call with a hold time has been answered on this connection, at {@code lastResponseAt}. A call without a
+         * hold time does not make a watch.
+         */
         private boolean isWatched;
 
-        private boolean waits;
-        private long answeredAt;
-        /** When its answer is written; -1 before that is known. */
-        private long turnAt = -1;
+        private boolean holds;
+        private long lastResponseAt;
+        /** When the response is written; -1 before that is known. */
+        private long responseDueAt = -1;
 
         Call(SocketChannel socket) {
             this.socket = socket;
         }
     }
 
-    /** An agent of discovery on a socket of its own. */
+    /** A discovery agent on its own socket. */
     final class Agent {
         private ServerSocketChannel listening;
         private final InetSocketAddress at;
         private final List<Call> calls = new ArrayList<>();
         int generation = 1;
-        boolean isDown;
-        private boolean isAway;
+        boolean isSilent;
+        private boolean notAccepting;
         private final List<SocketChannel> fillers = new ArrayList<>();
-        /** What answers are on all connections, also on those to come. */
-        Speech always = Speech.WHOLE;
-        /** A call that came while the agent was silent has no answer ever. */
-        boolean forgets;
-        /** What the next answers on connections that are there by now are; others get whole ones. */
-        private Speech speech = Speech.WHOLE;
-        /** Whether a call is turned away at once, given the moment. */
-        LongPredicate turnsAway = at -> false;
-        /** Every call is turned away at once. */
-        boolean refuses;
-        /** A service that many routers ask: what others have asked takes it so long before each answer here. */
-        int turnMs;
-
-        int asked;
+        /** The mode of responses on all connections, including future ones. */
+        ResponseMode mode = ResponseMode.COMPLETE;
+        /** Calls that arrive while the agent is silent are never answered. */
+        boolean dropsCalls;
+        /** The mode of responses on connections that are open when it is set; others get complete responses. */
+        private ResponseMode openConnectionMode = ResponseMode.COMPLETE;
+        /** Whether a call at the given time is rejected at once. */
+        LongPredicate rejectsCall = at -> false;
+        /** Every call is rejected at once. */
+        boolean rejectsAll;
+        /** Delay of each response, as by the calls of other routers in the queue of a shared service. */
+        int queueDelayMs;
+
+        int callsReceived;
         int connections;
-        int longestHold;
-        long askedAt;
+        int maxHoldMs;
+        long lastCallAt;
 
         Agent() throws IOException {
             this(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -233,11 +238,11 @@
             listening.configureBlocking(false);
         }
 
-        /** New connections are refused, or else they never come up; those that are there fall silent for good. */
-        void cutOff(boolean refuses) throws IOException {
-            forgetCalls();
-            isAway = true;
-            if (refuses) {
+        /** New connections are refused, or else never established; open connections are silent permanently. */
+        void stopAccepting(boolean refuseConnections) throws IOException {
+            dropCalls();
+            notAccepting = true;
+            if (refuseConnections) {
                 listening.close();
                 return;
             }
@@ -249,9 +254,9 @@
             }
         }
 
-        /** New connections are accepted again. */
-        void comeBack() throws IOException {
-            isAway = false;
+        /** Accepts new connections again. */
+        void acceptAgain() throws IOException {
+            notAccepting = false;
             for (SocketChannel filler : fillers) {
                 filler.close();
             }
@@ -261,12 +266,12 @@
             }
         }
 
-        /** What has been asked by now has no answer ever. */
-        void forgetCalls() {
+        /** Pending calls are never answered. */
+        void dropCalls() {
             for (Call call : calls) {
                 call.isOpen = false;
-                call.rest = new byte[0];
-                call.isLost = true;
+                call.remaining = new byte[0];
+                call.dropped = true;
             }
         }
 
@@ -274,34 +279,34 @@
             return at;
         }
 
-        /** Nobody is there any more. */
+        /** Closes the socket and all connections. */
         void close() throws IOException {
             agents.remove(this);
-            comeBack();
+            acceptAgain();
             listening.close();
             for (Call call : calls) {
                 call.socket.close();
             }
         }
 
-        /** The cache server drains from now on, as this agent has it. */
+        /** Marks the cache server as draining in the list of this agent. */
         void drain() {
             generation++;
         }
 
-        /** Connections that are there by now fall silent in this way. */
-        void breakOpenOnes(Speech how) throws IOException {
-            speech = how;
+        /** Makes the connections that are open now fail in this mode. */
+        void breakOpenConnections(ResponseMode responseMode) throws IOException {
+            openConnectionMode = responseMode;
             for (Call call : calls) {
-                call.dead = true;
-                if (how == Speech.RESET) {
+                call.broken = true;
+                if (responseMode == ResponseMode.RESET) {
                     call.socket.setOption(java.net.StandardSocketOptions.SO_LINGER, 0);
                     call.socket.close();
                 }
             }
         }
 
-        void act() throws IOException {
+        void step() throws IOException {
             for (SocketChannel s = accept(); s != null; s = accept()) {
                 s.configureBlocking(false);
                 s.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
@@ -316,7 +321,7 @@
         }
 
         private SocketChannel accept() throws IOException {
-            return isAway ? null : listening.accept();
+            return notAccepting ? null : listening.accept();
         }
 
         private void read(Call call) throws IOException {
@@ -333,19 +338,19 @@
             call.head += new String(bytes.array(), 0, bytes.position(), StandardCharsets.ISO_8859_1);
             if (call.head.endsWith("\r\n\r\n")) {
                 String query = call.head.substring(call.head.indexOf('?') + 1, call.head.indexOf(" HTTP"));
-                call.asksAll = !query.contains("from=");
-                call.from = call.asksAll ? -1 : Integer.parseInt(query.replaceAll(".*from=(\\d+).*", "$1"));
-                int hold = call.asksAll ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
-                longestHold = Math.max(longestHold, hold);
-                call.until = now + hold;
-                call.waits = hold > 1;
-                call.isOpen = !(isDown && forgets || call.isLost);
+                call.wantsFullList = !query.contains("from=");
+                call.from = call.wantsFullList ? -1 : Integer.parseInt(query.replaceAll(".*from=(\\d+).*", "$1"));
+                int hold = call.wantsFullList ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+                maxHoldMs = Math.max(maxHoldMs, hold);
+                call.holdEndsAt = now + hold;
+                call.holds = hold > 1;
+                call.isOpen = !(isSilent && dropsCalls || call.dropped);
                 call.head = "";
-                call.turnAt = -1;
-                asked++;
-                askedAt = now;
-                boolean goesOn = call.isWatched && now - call.answeredAt <= WATCH_GOES_ON_MS;
-                if (refuses || !goesOn && turnsAway.test(now)) {
+                call.responseDueAt = -1;
+                callsReceived++;
+                lastCallAt = now;
+                boolean continuesWatch = call.isWatched && now - call.lastResponseAt <= WATCH_CONTINUES_MS;
+                if (rejectsAll || !continuesWatch && rejectsCall.test(now)) {
                     call.isOpen = false;
                     write(call, UNAVAILABLE);
                 }
@@ -353,47 +358,48 @@
         }
 
         private void answer(Call call) throws IOException {
-            if (call.rest.length > 0 && now >= call.nextPieceAt) {
-                int n = Math.min(call.drips ? 1 : PIECE, call.rest.length);
-                write(call, java.util.Arrays.copyOf(call.rest, n));
-                call.rest = java.util.Arrays.copyOfRange(call.rest, n, call.rest.length);
-                call.nextPieceAt = now + (call.drips ? DRIP_EVERY_MS : PIECE_EVERY_MS);
+            if (call.remaining.length > 0 && now >= call.nextPieceAt) {
+                int n = Math.min(call.drips ? 1 : PIECE_BYTES, call.remaining.length);
+                write(call, java.util.Arrays.copyOf(call.remaining, n));
+                call.remaining = java.util.Arrays.copyOfRange(call.remaining, n, call.remaining.length);
+                call.nextPieceAt = now + (call.drips ? DRIP_INTERVAL_MS : PIECE_INTERVAL_MS);
             }
-            if (!call.socket.isOpen() || !call.isOpen || isDown || call.from >= generation && now < call.until) {
+            if (!call.socket.isOpen() || !call.isOpen || isSilent || call.from >= generation && now < call.holdEndsAt) {
                 return;
             }
-            call.turnAt = call.turnAt < 0 ? now + turnMs : call.turnAt;
-            if (now < call.turnAt) {
+            call.responseDueAt = call.responseDueAt < 0 ? now + queueDelayMs : call.responseDueAt;
+            if (now < call.responseDueAt) {
                 return;
             }
             call.isOpen = false;
-            call.isWatched = call.waits;
-            call.answeredAt = now;
-            String body = list(generation, call.asksAll, call.from < generation ? "draining" : "");
-            Speech said = call.dead ? speech : always;
-            boolean untilTheEnd =
-                    said == Speech.UNTIL_THE_END || said == Speech.UNTIL_A_RESET || said == Speech.CUT_BY_THE_END;
+            call.isWatched = call.holds;
+            call.lastResponseAt = now;
+            String body = list(generation, call.wantsFullList, call.from < generation ? "draining" : "");
+            ResponseMode responseMode = call.broken ? openConnectionMode : mode;
+            boolean untilClose = responseMode == ResponseMode.UNTIL_CLOSE
+                    || responseMode == ResponseMode.UNTIL_RESET
+                    || responseMode == ResponseMode.TRUNCATED_BY_CLOSE;
             String head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                    + (untilTheEnd ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n";
+                    + (untilClose ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n";
             byte[] all = (head + body).getBytes(StandardCharsets.ISO_8859_1);
-            int length = switch (said) {
-                case NOTHING, RESET, PIECES, DRIP -> 0;
-                case HALF_A_HEAD -> head.length() / 2;
-                case HEAD -> head.length();
-                case HALF_A_LIST, CUT_BY_THE_END -> head.length() + body.length() / 2;
-                case WHOLE, UNTIL_THE_END, UNTIL_A_RESET -> all.length;
+            int length = switch (responseMode) {
+                case SILENT, RESET, PIECES, DRIP -> 0;
+                case HALF_HEADER -> head.length() / 2;
+                case HEADER_ONLY -> head.length();
+                case HALF_BODY, TRUNCATED_BY_CLOSE -> head.length() + body.length() / 2;
+                case COMPLETE, UNTIL_CLOSE, UNTIL_RESET -> all.length;
             };
-            if (said == Speech.PIECES || said == Speech.DRIP) {
-                call.rest = all;
-                call.drips = said == Speech.DRIP;
+            if (responseMode == ResponseMode.PIECES || responseMode == ResponseMode.DRIP) {
+                call.remaining = all;
+                call.drips = responseMode == ResponseMode.DRIP;
             }
             write(call, java.util.Arrays.copyOf(all, length));
-            if (said == Speech.UNTIL_A_RESET) {
-                // The list has been read before the reset comes.
+            if (responseMode == ResponseMode.UNTIL_RESET) {
+                // The list has to be read before the reset arrives.
                 loop.runNow();
                 call.socket.setOption(java.net.StandardSocketOptions.SO_LINGER, 0);
             }
-            if (untilTheEnd) {
+            if (untilClose) {
                 call.socket.close();
             }
         }
