--- a/router/src/main/java/stagepier/peers/PeerReports.java
+++ b/router/src/main/java/stagepier/peers/PeerReports.java
@@ -6,11 +6,12 @@
 import stagepier.Api;
 
 /**
- * What a router sends to the others and knows from them: the one way from what the module reports to a message, and
- * from a report to sums, for sockets and simulator alike. Free of I/O and clock.
+ * The reports that a router sends to the others and the sums of those that it receives. Sockets and the simulator both
+ * use this class to turn reports of the routing module into messages, and received reports into sums. Does no I/O and
+ * reads no clock.
  */
 public final class PeerReports {
-    /** Told apart from all else that the router draws from its seed. */
+    /** Separates this random stream from others that the router derives from its seed. */
     private static final long SCHEDULE_SEED = 0x5ced_0e1aL;
 
     private static final long SAMPLER_SEED = 0x5a3b_1e44L;
@@ -22,7 +23,7 @@
     private final PeerView view;
     private long heldBack;
 
-    /** @param zones of the fleet */
+    /** @param zones number of zones in the fleet */
     public PeerReports(Api.Settings settings, int zones, long seed) {
         zone = settings.zone();
         schedule = new ReportSchedule(settings.balancers(), settings.reportPeriod(), seed ^ SCHEDULE_SEED);
@@ -30,46 +31,46 @@
         view = new PeerView(settings.balancers(), zones);
     }
 
-    /** The message to all others for what the module reports now, or null where none is due. */
-    public byte[] message(double now, List<Api.ServerReport> news) {
-        if (!schedule.isDue(now, news.size())) {
+    /** Returns the message to all other routers for the module's current report, or null if none is due. */
+    public byte[] message(double now, List<Api.ServerReport> serverReports) {
+        if (!schedule.isDue(now, serverReports.size())) {
             heldBack++;
             return null;
         }
         List<Api.ServerReport> entries =
-                news.stream().filter(PeerReportCodec::canName).toList();
-        if (!schedule.isBounded()) {
+                serverReports.stream().filter(PeerReportCodec::canEncode).toList();
+        if (!schedule.isRateLimited()) {
             return PeerReportCodec.encode(PeerReport.plain(entries));
         }
-        List<Api.ServerReport> chosen = sampler.choose(entries, PeerReportCodec.ENTRIES_MOST_WEIGHTED);
+        List<Api.ServerReport> sample = sampler.choose(entries, PeerReportCodec.MAX_ENTRIES_WEIGHTED);
         return PeerReportCodec.encode(
-                new PeerReport(zone, schedule.window(), schedule.weight(), PeerReport.closed(entries), chosen));
+                new PeerReport(zone, schedule.window(), schedule.weight(), PeerReport.countClosed(entries), sample));
     }
 
-    /** Takes another router's report; returns the servers of which the sum may have changed. */
+    /** Applies another router's report; returns the servers whose sum may have changed. */
     public Collection<Long> take(double now, int peer, PeerReport report) {
         return view.take(now, peer, report);
     }
 
     /**
-     * Forgets, without a report that comes, what is too old; returns the servers of which the sum may have changed.
-     * Where every report is sent, the next one that comes sees to that.
+     * Removes expired reports without waiting for the next report; returns the servers whose sum may have changed. If
+     * every report is sent, expired reports are removed when the next one arrives.
      */
     public Collection<Long> forget(double now) {
-        return schedule.isBounded() ? view.forget(now) : List.of();
+        return schedule.isRateLimited() ? view.forget(now) : List.of();
     }
 
-    /** What all others report of a server, added up. */
+    /** Returns the sum of all other routers' reports of a server. */
     public Api.PeerTotals of(long server) {
         return view.of(server);
     }
 
-    /** How many attempts each one that is told of stands for, on the mean. */
+    /** Returns the mean number of attempts that each reported attempt represents. */
     public double weight() {
         return view.weight();
     }
 
-    /** What was sent and what counts. */
+    /** Reports the counters of sent and valid reports. */
     public void count(ObjLongConsumer<String> to) {
         to.accept("peer_reports_held_back", heldBack);
         to.accept("peer_reports_gap_ms", Math.round(schedule.meanGap() * THOUSAND));
--- a/router/src/main/java/stagepier/peers/PeerSocket.java
+++ b/router/src/main/java/stagepier/peers/PeerSocket.java
@@ -23,34 +23,36 @@
 import stagepier.link.Sockets;
 
 /**
- * The datagrams between routers; owns their one socket. What comes from an address that is no router's, or makes no sense,
- * is counted and dropped. Routers serve as well without it: a socket that cannot be had is logged, and that is all.
+ * Sends and receives the datagrams between routers; owns their one socket. Datagrams from unknown addresses and
+ * malformed ones are counted and dropped. Routers also serve without this socket: if it cannot be bound, the failure is
+ * logged and retried.
  */
 public final class PeerSocket {
     private static final Logger LOG = LoggerFactory.getLogger(PeerSocket.class);
 
     /**
-     * Routers from which on messages are read in batches. So many send some 25 to 65 messages a second to each, and to wake the event
-     * loop for every single one takes more processor time than to read it.
+     * Number of routers from which on messages are read in batches. In fleets of that size each router receives some 25
+     * to 65 messages a second from the others, and waking the event loop for every single one takes more processor time
+     * than reading it.
      */
-    static final int BATCHED_FROM = 50;
+    static final int MIN_ROUTERS_FOR_BATCHES = 50;
 
-    private static final int BATCH_MOST = 64;
+    private static final int MAX_BATCH_MESSAGES = 64;
 
-    /** Takes what another router reports. */
+    /** Receives the reports of other routers. */
     @FunctionalInterface
     public interface Listener {
-        /** @param peer the number of the router that reports it */
+        /** @param peer number of the router that sent the report */
         void reported(int peer, PeerReport report);
     }
 
     /**
-     * Where routers hear of each other.
+     * The addresses of the routers.
      *
-     * @param listen where this one is told
-     * @param all    what is sent here goes to every router
-     * @param routers one address for each, in the order of their numbers; others have to send from these
-     * @param own    this router's number
+     * @param listen  local address on which this router receives
+     * @param all     destination that reaches every router
+     * @param routers one address for each router, in the order of their numbers; reports have to be sent from these
+     * @param own     number of this router
      */
     public record Addresses(
             InetSocketAddress listen, InetSocketAddress all, List<InetSocketAddress> routers, int own) {}
@@ -58,29 +60,33 @@
     private final EventLoop loop;
     private final Addresses addresses;
     private final Listener listener;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> routerNumbers = new HashMap<>();
     private final RetryingBind bind;
     private final boolean batched;
     private long sent;
     private long received;
-    private long strange;
+    private long unknownSenders;
     private long malformed;
     private long bytesSent;
-    private long bytesHeard;
+    private long bytesReceived;
 
     public PeerSocket(EventLoop loop, Addresses addresses, Listener listener) {
         this.loop = loop;
         this.addresses = addresses;
         this.listener = listener;
-        batched = addresses.routers().size() >= BATCHED_FROM;
+        batched = addresses.routers().size() >= MIN_ROUTERS_FOR_BATCHES;
         bind = new RetryingBind(
-                loop, this::bind, why -> LOG.warn("no word from other routers yet: {}", why.getMessage()));
+                loop,
+                this::bind,
+                cause -> LOG.warn(
+                        "cannot bind the UDP socket for peer reports: {}; retrying, serving without them",
+                        cause.getMessage()));
         for (int i = 0; i < addresses.routers().size(); i++) {
-            numbers.put(addresses.routers().get(i), i);
+            routerNumbers.put(addresses.routers().get(i), i);
         }
     }
 
-    /** Listens, and tries until it can. */
+    /** Binds the socket, with retries until that succeeds. */
     public void start() {
         bind.start();
     }
@@ -89,11 +95,11 @@
         return new Bootstrap()
                 .group(loop)
                 .channelFactory(Sockets.datagrams())
-                // A byte more than the most: what fills it was longer, and is no message.
+                // One byte more than the maximum: a datagram that fills the buffer was too long and is malformed.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(PeerReportCodec.BYTES_MOST + 1)
-                                .maxMessagesPerRead(batched ? BATCH_MOST : 1))
+                        new FixedRecvByteBufAllocator(PeerReportCodec.MAX_BYTES + 1)
+                                .maxMessagesPerRead(batched ? MAX_BATCH_MESSAGES : 1))
                 .option(ChannelOption.AUTO_READ, !batched)
                 .handler(new Inbound())
                 .bind(addresses.listen());
@@ -103,26 +109,29 @@
         bind.stop();
     }
 
-    /** Reads the messages that have come since the last call, where they are read in batches. To be called at each heartbeat. */
+    /**
+     * Reads the messages that have arrived since the last call, if they are read in batches. To be called at each
+     * heartbeat.
+     */
     public void readBatch() {
         Channel channel = bind.channel();
         if (batched && channel != null && channel.isActive()) {
-            // A channel that does not read by itself reads one message at a time: it may until all that have come are
-            // read.
+            // A channel without auto-read reads one message at a time. Auto-read is on until all pending messages have
+            // been read.
             channel.config().setAutoRead(true);
             if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
-                // At once: to be told of the input by the selector takes further turns of the event loop.
+                // Reads directly, because waiting for the selector takes further turns of the event loop.
                 unsafe.read();
             }
         }
     }
 
-    /** Sends a message to all other routers; may be lost. */
+    /** Sends a message to all other routers; it may be lost. */
     public void send(byte[] message) {
         Channel channel = bind.channel();
         if (channel != null && channel.isActive()) {
             sent++;
-            bytesSent += message.length + ReportSchedule.DATAGRAM_HEADERS;
+            bytesSent += message.length + ReportSchedule.DATAGRAM_HEADER_BYTES;
             channel.writeAndFlush(
                     new DatagramPacket(Unpooled.wrappedBuffer(message), addresses.all()), channel.voidPromise());
         }
@@ -131,10 +140,10 @@
     private final class Inbound extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            bytesHeard += packet.content().readableBytes() + ReportSchedule.DATAGRAM_HEADERS;
-            Integer peer = numbers.get(packet.sender());
+            bytesReceived += packet.content().readableBytes() + ReportSchedule.DATAGRAM_HEADER_BYTES;
+            Integer peer = routerNumbers.get(packet.sender());
             if (peer == null || peer == addresses.own()) {
-                strange += peer == null ? 1 : 0;
+                unknownSenders += peer == null ? 1 : 0;
                 return;
             }
             PeerReport report;
@@ -155,19 +164,19 @@
             }
         }
 
-        /** A send that failed is a message lost. */
+        /** Logs a failed send; the message is lost. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("peers: {}", cause.toString());
+            LOG.debug("peer report not sent: {}", cause.toString());
         }
     }
 
     public void count(ObjLongConsumer<String> to) {
         to.accept("peer_messages_sent", sent);
         to.accept("peer_messages_heard", received);
-        to.accept("peer_messages_strange", strange);
+        to.accept("peer_messages_strange", unknownSenders);
         to.accept("peer_messages_malformed", malformed);
         to.accept("peer_bytes_sent", bytesSent);
-        to.accept("peer_bytes_heard", bytesHeard);
+        to.accept("peer_bytes_heard", bytesReceived);
     }
 }
--- a/router/src/main/java/stagepier/peers/PeerView.java
+++ b/router/src/main/java/stagepier/peers/PeerView.java
@@ -12,105 +12,111 @@
 import stagepier.Api;
 
 /**
- * What all other routers have reported, added up by server. The last report of each counts until its next, or until its
- * window is over: a router that died, or whose reports are lost, must not keep a server busy for ever. Attempts in
- * flight are multiplied by the weight of the report; routers with an open circuit are counted one by one. To take a
- * report costs its own entries, those of the sender's earlier one and those of reports whose time is over, and nothing
- * else. Free of I/O and clock.
+ * Sums the reports of all other routers by server. The latest report of each router is valid until its next one, or
+ * until its window has passed: a router that died, or whose reports are lost, must not make a server appear busy for
+ * ever. Attempts in flight are multiplied by the weight of the report; routers with an open circuit are counted
+ * individually. The cost of applying a report is its own entries, those of the sender's previous one and those of
+ * expired reports. Does no I/O and reads no clock.
  */
 public final class PeerView {
-    /** Weighted sums are kept in whole units of this part, so that what is added is taken off again without a rest. */
-    private static final double UNITS = 1 << 16;
     /**
-     * Routers with an open circuit that are told of, where all are of one zone of several: fewer than close anything.
+     * Weighted sums are kept in integer units of this fraction of an attempt, so that subtracting a contribution leaves
+     * no rounding error.
      */
-    private static final int ONE_ZONE_MOST = 2;
+    private static final double UNITS_PER_ATTEMPT = 1 << 16;
+    /**
+     * Maximum number of routers with an open circuit that is reported if all of them are in one of several zones: too
+     * few to close anything.
+     */
+    private static final int MAX_OPEN_FROM_ONE_ZONE = 2;
 
-    /** What an entry adds to the sum of its server. */
-    private record Part(long server, long units, long squares, boolean open) {}
+    /** The contribution of one entry to the sum of its server. */
+    private record Contribution(long server, long units, long squares, boolean open) {}
 
-    /** The last report of a router. */
-    private record Held(int peer, double at, double window, int zone, List<Part> parts) {
-        double until() {
+    /** The latest report of a router. */
+    private record HeldReport(int peer, double at, double window, int zone, List<Contribution> contributions) {
+        double expiresAt() {
             return at + window;
         }
 
-        boolean isOver(double now) {
+        boolean isExpired(double now) {
             return now - at > window;
         }
     }
 
-    /** All that counts of one server. */
-    private static final class Sum {
+    /** The sum of all valid reports of one server. */
+    private static final class ServerSum {
         private long units;
         private int reports;
         private int open;
         private final Map<Integer, Integer> openByZone = new HashMap<>();
 
-        void add(Part part, int zone, int sign) {
-            units += sign * part.units();
+        void add(Contribution contribution, int zone, int sign) {
+            units += sign * contribution.units();
             reports += sign;
-            if (part.open()) {
+            if (contribution.open()) {
                 open += sign;
                 openByZone.merge(zone, sign, Integer::sum);
                 openByZone.remove(zone, 0);
             }
         }
 
-        /** Plain reports tell no zone, so three of them are as good as two zones. */
-        int open(boolean zoned) {
-            int plain = openByZone.getOrDefault(PeerReport.NO_ZONE, 0);
-            boolean agreed = !zoned || openByZone.size() > 1 || plain > ONE_ZONE_MOST;
-            return agreed ? open : Math.min(open, ONE_ZONE_MOST);
+        /** Plain reports do not include a zone, so three of them count as two zones. */
+        int open(boolean multipleZones) {
+            int plainReports = openByZone.getOrDefault(PeerReport.NO_ZONE, 0);
+            boolean confirmed = !multipleZones || openByZone.size() > 1 || plainReports > MAX_OPEN_FROM_ONE_ZONE;
+            return confirmed ? open : Math.min(open, MAX_OPEN_FROM_ONE_ZONE);
         }
     }
 
     private final int routers;
-    private final boolean zoned;
-    private final Map<Integer, Held> last = new HashMap<>();
-    /** Those whose time ends first come first; some have been replaced since. */
-    private final PriorityQueue<Held> endings = new PriorityQueue<>(Comparator.comparingDouble(Held::until));
-
-    private final Map<Long, Sum> sums = new HashMap<>();
-    /** Attempts that are told of, by weight and by its square. */
+    private final boolean multipleZones;
+    private final Map<Integer, HeldReport> latestReports = new HashMap<>();
+    /** Held reports by expiry time, earliest first; some of them have been replaced since. */
+    private final PriorityQueue<HeldReport> byExpiry =
+            new PriorityQueue<>(Comparator.comparingDouble(HeldReport::expiresAt));
+
+    private final Map<Long, ServerSum> sums = new HashMap<>();
+    /** Sums of all reported attempts, by weight and by its square. */
     private long units;
 
     private long squares;
     private long forgotten;
-    private long touched;
+    private long entriesProcessed;
 
     /**
-     * @param routers all that report: no report stands for more
-     * @param zones   of the fleet
+     * @param routers number of reporting routers, which limits the weight of a report
+     * @param zones   number of zones in the fleet
      */
     public PeerView(int routers, int zones) {
         this.routers = routers;
-        zoned = zones > 1;
+        multipleZones = zones > 1;
     }
 
-    /** Takes a router's report; returns the servers of which the sum may have changed. */
+    /** Applies a router's report; returns the servers whose sum may have changed. */
     public Collection<Long> take(double now, int peer, PeerReport report) {
         Set<Long> changed = new HashSet<>();
-        Held before = last.remove(peer);
-        if (before != null) {
-            add(before, -1, changed);
+        HeldReport previous = latestReports.remove(peer);
+        if (previous != null) {
+            add(previous, -1, changed);
         }
-        List<Part> parts = new ArrayList<>(report.entries().size());
-        double closedWeight = Math.min(routers, report.weight() * report.sampled());
+        List<Contribution> contributions = new ArrayList<>(report.entries().size());
+        double closedWeight = Math.min(routers, report.weight() * report.samplingFactor());
         for (Api.ServerReport entry : report.entries()) {
             double weight = entry.open() ? Math.min(routers, report.weight()) : closedWeight;
-            double units = weight * entry.inFlight() * UNITS;
-            parts.add(new Part(entry.server(), Math.round(units), Math.round(weight * units), entry.open()));
+            double units = weight * entry.inFlight() * UNITS_PER_ATTEMPT;
+            contributions.add(
+                    new Contribution(entry.server(), Math.round(units), Math.round(weight * units), entry.open()));
         }
-        Held held = new Held(peer, now, report.window(), report.zone(), parts);
-        last.put(peer, held);
-        endings.add(held);
+        HeldReport held = new HeldReport(peer, now, report.window(), report.zone(), contributions);
+        latestReports.put(peer, held);
+        byExpiry.add(held);
         add(held, 1, changed);
         forget(now, changed);
         return changed;
     }
 
-    /** Forgets the reports whose time is over; returns the servers of which the sum may have changed. */
+    /** Removes expired reports; returns the servers whose sum may have changed. */
     public Collection<Long> forget(double now) {
         Set<Long> changed = new HashSet<>();
         forget(now, changed);
@@ -118,59 +124,61 @@
     }
 
     private void forget(double now, Set<Long> changed) {
-        while (!endings.isEmpty() && endings.peek().isOver(now)) {
-            Held over = endings.remove();
-            touched++;
-            // By identity: a later report of the same router may equal it.
-            if (last.get(over.peer()) == over) {
-                last.remove(over.peer());
-                add(over, -1, changed);
+        while (!byExpiry.isEmpty() && byExpiry.peek().isExpired(now)) {
+            HeldReport expired = byExpiry.remove();
+            entriesProcessed++;
+            // Compares identity: a later report of the same router may be equal.
+            if (latestReports.get(expired.peer()) == expired) {
+                latestReports.remove(expired.peer());
+                add(expired, -1, changed);
                 forgotten++;
             }
         }
     }
 
-    private void add(Held held, int sign, Set<Long> changed) {
-        for (Part part : held.parts()) {
-            touched++;
-            units += sign * part.units();
-            squares += sign * part.squares();
-            Sum sum = sums.computeIfAbsent(part.server(), server -> new Sum());
-            sum.add(part, held.zone(), sign);
+    private void add(HeldReport held, int sign, Set<Long> changed) {
+        for (Contribution contribution : held.contributions()) {
+            entriesProcessed++;
+            units += sign * contribution.units();
+            squares += sign * contribution.squares();
+            ServerSum sum = sums.computeIfAbsent(contribution.server(), server -> new ServerSum());
+            sum.add(contribution, held.zone(), sign);
             if (sum.reports == 0) {
-                sums.remove(part.server());
+                sums.remove(contribution.server());
             }
-            changed.add(part.server());
+            changed.add(contribution.server());
         }
     }
 
-    /** What all others report of a server, added up. */
+    /** Returns the sum of all other routers' reports of a server. */
     public Api.PeerTotals of(long server) {
-        Sum sum = sums.get(server);
+        ServerSum sum = sums.get(server);
         if (sum == null) {
             return Api.PeerTotals.none(server);
         }
-        long inFlight = Math.min(Integer.MAX_VALUE, Math.round(sum.units / UNITS));
-        return new Api.PeerTotals(server, (int) inFlight, sum.open(zoned));
+        long inFlight = Math.min(Integer.MAX_VALUE, Math.round(sum.units / UNITS_PER_ATTEMPT));
+        return new Api.PeerTotals(server, (int) inFlight, sum.open(multipleZones));
     }
 
-    /** How many attempts each one that is told of stands for, on the mean: a sum varies as much more. */
+    /**
+     * Returns the mean number of attempts that each reported attempt represents, by which the variance of a sum grows.
+     */
     public double weight() {
         return units == 0 ? 1 : (double) squares / units;
     }
 
-    /** Routers of which a report counts now. */
+    /** Returns the number of routers with a valid report. */
     int reporters() {
-        return last.size();
+        return latestReports.size();
     }
 
-    /** Routers that fell silent for longer than their window, each time. */
+    /** Returns how often a report expired because its router was silent for longer than the window. */
     long forgotten() {
         return forgotten;
     }
 
-    /** Entries added and taken off, and reports whose time was over, since the start. */
-    long touched() {
-        return touched;
+    /** Returns the number of entries added and subtracted, and of expired reports removed, since the start. */
+    long entriesProcessed() {
+        return entriesProcessed;
     }
 }
--- a/router/src/main/java/stagepier/peers/ReportSampler.java
+++ b/router/src/main/java/stagepier/peers/ReportSampler.java
@@ -6,9 +6,9 @@
 import stagepier.Api;
 
 /**
- * Chooses what a message holds of a report that is too long for it: servers with an open circuit first, of the others a
- * random sample, so that the sum stays unbiased where a router has attempts at more servers than it can tell of. Free
- * of I/O and clock.
+ * Selects the entries of a report that is too long for a message: servers with an open circuit first, then a random
+ * sample of the others. The sample keeps the sum unbiased if a router has attempts at more servers than a message
+ * holds. Does no I/O and reads no clock.
  */
 final class ReportSampler {
     private final SplittableRandom random;
@@ -17,26 +17,26 @@
         random = new SplittableRandom(seed);
     }
 
-    /** At most so many of the entries. */
-    List<Api.ServerReport> choose(List<Api.ServerReport> entries, int most) {
-        if (entries.size() <= most) {
+    /** Returns at most this many of the entries. */
+    List<Api.ServerReport> choose(List<Api.ServerReport> entries, int maxEntries) {
+        if (entries.size() <= maxEntries) {
             return entries;
         }
-        List<Api.ServerReport> chosen =
-                sample(entries.stream().filter(Api.ServerReport::open).toList(), most);
-        chosen.addAll(sample(entries.stream().filter(entry -> !entry.open()).toList(), most - chosen.size()));
-        return chosen;
+        List<Api.ServerReport> selected =
+                sample(entries.stream().filter(Api.ServerReport::open).toList(), maxEntries);
+        selected.addAll(sample(entries.stream().filter(entry -> !entry.open()).toList(), maxEntries - selected.size()));
+        return selected;
     }
 
-    private List<Api.ServerReport> sample(List<Api.ServerReport> from, int most) {
-        List<Api.ServerReport> left = new ArrayList<>(from);
-        int n = Math.min(most, left.size());
-        for (int i = 0; i < n && n < left.size(); i++) {
-            int j = random.nextInt(i, left.size());
-            Api.ServerReport drawn = left.get(j);
-            left.set(j, left.get(i));
-            left.set(i, drawn);
+    private List<Api.ServerReport> sample(List<Api.ServerReport> from, int maxEntries) {
+        List<Api.ServerReport> remaining = new ArrayList<>(from);
+        int n = Math.min(maxEntries, remaining.size());
+        for (int i = 0; i < n && n < remaining.size(); i++) {
+            int j = random.nextInt(i, remaining.size());
+            Api.ServerReport drawn = remaining.get(j);
+            remaining.set(j, remaining.get(i));
+            remaining.set(i, drawn);
         }
-        return new ArrayList<>(left.subList(0, n));
+        return new ArrayList<>(remaining.subList(0, n));
     }
 }
--- a/router/src/test/java/stagepier/peers/PeerSocketTest.java
+++ b/router/src/test/java/stagepier/peers/PeerSocketTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import stagepier.Api;
 
-/** One router's socket against a stand-in router and a stranger, over loopback. */
+/** One router's socket against a simulated router and an unknown sender, over loopback. */
 class PeerSocketTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final PeerReport REPORT = PeerReport.plain(List.of(new Api.ServerReport(7, 2, true)));
@@ -29,30 +29,32 @@
         from.send(new DatagramPacket(bytes, bytes.length, to));
     }
 
-    private static InetSocketAddress of(DatagramSocket socket) {
+    private static InetSocketAddress addressOf(DatagramSocket socket) {
         return new InetSocketAddress(LOOPBACK, socket.getLocalPort());
     }
 
-    /** Guards against an event loop that is woken for every message of a large fleet. */
+    /** In a large fleet the event loop must not wake up for every message. */
     @Test
     void messagesOfManyRoutersAreReadInBatches() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         InetSocketAddress here;
         try (DatagramSocket free = new DatagramSocket(0, LOOPBACK)) {
-            here = of(free);
+            here = addressOf(free);
         }
         try (DatagramSocket peer = new DatagramSocket(0, LOOPBACK)) {
             peer.setSoTimeout(10_000);
-            List<InetSocketAddress> routers = new ArrayList<>(List.of(here, of(peer)));
-            while (routers.size() < PeerSocket.BATCHED_FROM) {
+            List<InetSocketAddress> routers = new ArrayList<>(List.of(here, addressOf(peer)));
+            while (routers.size() < PeerSocket.MIN_ROUTERS_FOR_BATCHES) {
                 routers.add(new InetSocketAddress(LOOPBACK, routers.size()));
             }
-            BlockingQueue<PeerReport> heard = new LinkedBlockingQueue<>();
+            BlockingQueue<PeerReport> received = new LinkedBlockingQueue<>();
             PeerSocket socket = new PeerSocket(
-                    loop, new PeerSocket.Addresses(here, of(peer), routers, 0), (from, news) -> heard.add(news));
+                    loop,
+                    new PeerSocket.Addresses(here, addressOf(peer), routers, 0),
+                    (from, report) -> received.add(report));
             socket.start();
-            // Sent until one is received: the socket is bound in its own time.
+            // Repeated until one is received, because the socket is bound asynchronously.
             loop.scheduleAtFixedRate(() -> socket.send(PeerReportCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
             peer.receive(new DatagramPacket(new byte[1], 1));
             List<PeerReport> sent = new ArrayList<>();
@@ -60,15 +62,15 @@
                 sent.add(PeerReport.plain(List.of(new Api.ServerReport(server, server, false))));
                 send(peer, PeerReportCodec.encode(sent.get(server - 1)), here);
             }
-            // The loop looks for input at least once meanwhile.
+            // Meanwhile the event loop polls for input at least once.
             loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get(10, TimeUnit.SECONDS);
-            assertTrue(heard.isEmpty(), "not before the next batch");
+            assertTrue(received.isEmpty(), "nothing is received before the next batch");
             loop.submit(socket::readBatch).get(10, TimeUnit.SECONDS);
-            assertEquals(sent, List.copyOf(heard), "all in the turn of the event loop in which the batch is read");
-            heard.clear();
+            assertEquals(sent, List.copyOf(received), "all in the turn of the event loop in which the batch is read");
+            received.clear();
             send(peer, PeerReportCodec.encode(REPORT), here);
             loop.schedule(() -> {}, 5, TimeUnit.MILLISECONDS).get(10, TimeUnit.SECONDS);
-            assertTrue(heard.isEmpty(), "from then on not before the next batch again");
+            assertTrue(received.isEmpty(), "nothing is received before the following batch");
             loop.submit(socket::stop).get(10, TimeUnit.SECONDS);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -76,35 +78,35 @@
     }
 
     @Test
-    void onlyWholeMessagesOfOtherRoutersAreHeard() throws Exception {
+    void onlyCompleteMessagesOfOtherRoutersAreReceived() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         InetSocketAddress here;
         try (DatagramSocket free = new DatagramSocket(0, LOOPBACK)) {
-            here = of(free);
+            here = addressOf(free);
         }
         try (DatagramSocket peer = new DatagramSocket(0, LOOPBACK);
-                DatagramSocket stranger = new DatagramSocket(0, LOOPBACK)) {
+                DatagramSocket unknownSender = new DatagramSocket(0, LOOPBACK)) {
             peer.setSoTimeout(10_000);
-            BlockingQueue<Map.Entry<Integer, PeerReport>> heard = new LinkedBlockingQueue<>();
+            BlockingQueue<Map.Entry<Integer, PeerReport>> received = new LinkedBlockingQueue<>();
             PeerSocket socket = new PeerSocket(
                     group.next(),
-                    new PeerSocket.Addresses(here, of(peer), List.of(here, of(peer)), 0),
-                    (from, news) -> heard.add(Map.entry(from, news)));
+                    new PeerSocket.Addresses(here, addressOf(peer), List.of(here, addressOf(peer)), 0),
+                    (from, report) -> received.add(Map.entry(from, report)));
             socket.start();
-            // Told until heard: the socket is bound in its own time, and a datagram may be lost.
-            byte[] got = new byte[PeerReportCodec.BYTES_MOST + 1];
-            DatagramPacket packet = new DatagramPacket(got, got.length);
+            // Repeated until one is received: the socket is bound asynchronously, and a datagram may be lost.
+            byte[] bytes = new byte[PeerReportCodec.MAX_BYTES + 1];
+            DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
             group.next()
                     .scheduleAtFixedRate(
                             () -> socket.send(PeerReportCodec.encode(REPORT)), 1, 20, TimeUnit.MILLISECONDS);
             peer.receive(packet);
-            assertEquals(REPORT, PeerReportCodec.decode(java.util.Arrays.copyOf(got, packet.getLength())));
+            assertEquals(REPORT, PeerReportCodec.decode(java.util.Arrays.copyOf(bytes, packet.getLength())));
 
-            send(stranger, PeerReportCodec.encode(REPORT), here);
+            send(unknownSender, PeerReportCodec.encode(REPORT), here);
             send(peer, new byte[] {9, 9}, here);
-            send(peer, new byte[PeerReportCodec.BYTES_MOST * 2], here);
+            send(peer, new byte[PeerReportCodec.MAX_BYTES * 2], here);
             send(peer, PeerReportCodec.encode(REPORT), here);
-            assertEquals(Map.entry(1, REPORT), heard.poll(10, TimeUnit.SECONDS));
+            assertEquals(Map.entry(1, REPORT), received.poll(10, TimeUnit.SECONDS));
             Map<String, Long> counts = group.next()
                     .submit(() -> {
                         Map<String, Long> all = new HashMap<>();
@@ -117,8 +119,8 @@
             assertEquals(2, counts.get("peer_messages_malformed"));
             assertEquals(1, counts.get("peer_messages_heard"));
             assertEquals(35 * counts.get("peer_messages_sent"), counts.get("peer_bytes_sent"));
-            assertEquals(35 + 30 + 28 + PeerReportCodec.BYTES_MOST + 1 + 35, counts.get("peer_bytes_heard"));
-            assertTrue(heard.isEmpty());
+            assertEquals(35 + 30 + 28 + PeerReportCodec.MAX_BYTES + 1 + 35, counts.get("peer_bytes_heard"));
+            assertTrue(received.isEmpty());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
--- a/router/src/test/java/stagepier/peers/ReportSamplerTest.java
+++ b/router/src/test/java/stagepier/peers/ReportSamplerTest.java
@@ -22,36 +22,36 @@
     }
 
     @Test
-    void whatFitsGoesAsItIs() {
+    void reportThatFitsIsUnchanged() {
         List<Api.ServerReport> entries = entries(3, 49);
         assertSame(entries, sampler.choose(entries, 49));
     }
 
-    /** Guards against a router with attempts at many servers that tells of the same ones always. */
+    /** A router with attempts at many servers must not always report the same ones. */
     @Test
-    void openCircuitsGoAlwaysAndAllOthersAlikeOften() {
-        Map<Long, Integer> told = new HashMap<>();
+    void openCircuitsAreAlwaysSelectedAndOthersEquallyOften() {
+        Map<Long, Integer> selected = new HashMap<>();
         for (int i = 0; i < 4000; i++) {
             List<Api.ServerReport> chosen = sampler.choose(entries(9, 209), 49);
             assertEquals(49, new HashSet<>(chosen).size());
-            chosen.forEach(entry -> told.merge(entry.server(), 1, Integer::sum));
+            chosen.forEach(entry -> selected.merge(entry.server(), 1, Integer::sum));
         }
         for (long server = 0; server < 9; server++) {
-            assertEquals(4000, told.get(server));
+            assertEquals(4000, selected.get(server));
         }
         for (long server = 9; server < 209; server++) {
-            assertEquals(800, told.get(server), 120, "server " + server);
+            assertEquals(800, selected.get(server), 120, "server " + server);
         }
     }
 
     @Test
-    void moreOpenCircuitsThanFitTakeTurns() {
-        Map<Long, Integer> told = new HashMap<>();
+    void excessOpenCircuitsAreSelectedEquallyOften() {
+        Map<Long, Integer> selected = new HashMap<>();
         for (int i = 0; i < 1000; i++) {
             List<Api.ServerReport> chosen = sampler.choose(entries(98, 200), 49);
             assertTrue(chosen.stream().allMatch(Api.ServerReport::open));
-            chosen.forEach(entry -> told.merge(entry.server(), 1, Integer::sum));
+            chosen.forEach(entry -> selected.merge(entry.server(), 1, Integer::sum));
         }
-        IntStream.range(0, 98).forEach(server -> assertEquals(500, told.get((long) server), 90));
+        IntStream.range(0, 98).forEach(server -> assertEquals(500, selected.get((long) server), 90));
     }
 }
--- a/router/src/test/java/stagepier/peers/ReportScheduleTest.java
+++ b/router/src/test/java/stagepier/peers/ReportScheduleTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ReportScheduleTest {
-    /** That of a shortest deadline of one and a half seconds. */
+    /** Report period for a shortest deadline of 1.5 s, in seconds. */
     private static final double PERIOD = 0.27;
 
-    /** When reports went off, of which the module made one about every period, all of one size. */
+    /** Returns when reports were sent, if the module makes one about every period, all of one size. */
     private static List<Double> sent(ReportSchedule schedule, double seconds, int entries, SplittableRandom random) {
         List<Double> sent = new ArrayList<>();
         for (double now = PERIOD * random.nextDouble(); now < seconds; now += PERIOD * random.nextDouble(0.5, 1.5)) {
@@ -27,14 +27,14 @@
         return sent;
     }
 
-    /** Few routers: every report of the module goes off when it is made, in the form that it always had. */
+    /** With few routers every report of the module is sent when it is made, as a plain report. */
     @ParameterizedTest
     @CsvSource({"2,50", "7,30", "9,23", "14,17"})
-    void fewRoutersSendEachReportAsItIsMade(int routers, int entries) {
+    void fewRoutersSendEveryReport(int routers, int entries) {
         ReportSchedule schedule = new ReportSchedule(routers, PERIOD, 5);
         for (int i = 0; i < 1000; i++) {
             assertTrue(schedule.isDue(i * PERIOD / 2, i % (entries + 1)), "report " + i);
-            assertFalse(schedule.isBounded());
+            assertFalse(schedule.isRateLimited());
             assertEquals(1, schedule.window());
             assertEquals(1, schedule.weight());
         }
@@ -42,7 +42,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {14, 30, 100, 400, 1900})
-    void theMeanGapKeepsAllRoutersTogetherToTheRate(int routers) {
+    void meanGapKeepsTheWholeFleetWithinTheRate(int routers) {
         int entries = 40;
         double bytes = 28 + 11 + 5 * entries;
         double mean = routers * bytes / 6000;
@@ -54,46 +54,47 @@
                 gaps.add(sent.get(i) - sent.get(i - 1));
             }
         }
-        double found = gaps.stream().mapToDouble(gap -> gap).average().orElseThrow();
-        assertEquals(mean, found, 0.01 * mean);
+        double measuredMean = gaps.stream().mapToDouble(gap -> gap).average().orElseThrow();
+        assertEquals(mean, measuredMean, 0.01 * mean);
         double longest = gaps.stream().mapToDouble(gap -> gap).max().orElseThrow();
         assertTrue(longest <= 1.5 * (mean + PERIOD), longest + " s, the mean " + mean);
         assertTrue(longest > 1.4 * mean, longest + " s, the mean " + mean);
-        // What the weight says: the part of time during which a report counts.
+        // The weight is one over the fraction of time during which a report is valid.
         double window = ReportSchedule.window(mean, PERIOD);
-        double counts = gaps.stream()
+        double validSeconds = gaps.stream()
                         .mapToDouble(gap -> Math.min(gap, window))
                         .average()
                         .orElseThrow()
-                / found;
-        assertEquals(1, counts * ReportSchedule.weight(mean, window), 0.01);
+                / measuredMean;
+        assertEquals(1, validSeconds * ReportSchedule.weight(mean, window), 0.01);
     }
 
-    /** Against the mean of min(gap, window) in small steps. */
+    /** Compares with the mean of min(gap, window), integrated in small steps. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3, 1, 2.3, 2.5, 2.7, 3, 4, 6, 7.9, 8, 8.1, 20, 80})
-    void aReportStandsForOneOverThePartOfTimeThatItCounts(double mean) {
+    void weightIsOneOverTheFractionOfTimeThatAReportIsValid(double mean) {
         double window = ReportSchedule.window(mean, PERIOD);
         int steps = 1_000_000;
-        double counts = 0;
+        double validSeconds = 0;
         for (int i = 0; i < steps; i++) {
-            counts += Math.min(window, mean * (0.5 + (i + 0.5) / steps)) / steps;
+            validSeconds += Math.min(window, mean * (0.5 + (i + 0.5) / steps)) / steps;
         }
-        assertEquals(mean / counts, ReportSchedule.weight(mean, window), 1e-6);
+        assertEquals(mean / validSeconds, ReportSchedule.weight(mean, window), 1e-6);
         assertTrue(window >= 1 && window <= 4);
     }
 
     @Test
-    void theWeightIsOneWhileNoGapIsLongerThanTheWindow() {
+    void weightIsOneWhileNoGapIsLongerThanTheWindow() {
         assertEquals(1, ReportSchedule.weight(2.39, ReportSchedule.window(2.39, PERIOD)));
         assertEquals(77.6 / 4, ReportSchedule.weight(77.6, 4), 1e-9);
     }
 
     /**
-     * Guards against a bias towards loaded moments: a long report must not be followed by a long gap for its length.
+     * A long report must not be followed by a long gap because of its length, which would bias the sum towards moments
+     * of high load.
      */
     @Test
-    void neitherWeightNorGapDependsOnWhatAReportHolds() {
+    void weightAndGapDoNotDependOnTheContentOfAReport() {
         for (int seed = 0; seed < 50; seed++) {
             ReportSchedule small = new ReportSchedule(1900, PERIOD, seed);
             ReportSchedule large = new ReportSchedule(1900, PERIOD, seed);
@@ -102,13 +103,13 @@
             while (!due) {
                 now += PERIOD;
                 due = small.isDue(now, now < 20 * PERIOD ? 20 : 5);
-                // The same until it is due, and then larger.
+                // The same size until a report is due, and a larger one then.
                 assertEquals(due, large.isDue(now, due ? 49 : now < 20 * PERIOD ? 20 : 5));
             }
             assertEquals(small.weight(), large.weight());
             assertEquals(small.window(), large.window());
             double small2 = next(small, now);
-            assertEquals(small2, next(large, now), "the gap was drawn from what was known before");
+            assertEquals(small2, next(large, now), "the gap depends on earlier reports only");
         }
     }
 
@@ -120,9 +121,9 @@
         return now;
     }
 
-    /** After a standstill of the process what was missed is not made up for. */
+    /** Reports missed while the process was suspended are not sent later. */
     @Test
-    void aStandstillIsNotMadeUpFor() {
+    void missedReportsAreNotSentAfterASuspension() {
         ReportSchedule schedule = new ReportSchedule(100, PERIOD, 3);
         SplittableRandom random = new SplittableRandom(4);
         sent(schedule, 60, 40, random);
@@ -134,9 +135,12 @@
         assertTrue(sent <= 6, sent + " in four mean gaps");
     }
 
-    /** Guards against a wave after a start of all at once, and against a second one when their next reports are due. */
+    /**
+     * A simultaneous start of all routers must not cause a peak of messages, nor a second one when their next reports
+     * are due.
+     */
     @Test
-    void routersThatStartAtOnceSendAtTheUsualRateFromThen() {
+    void routersThatStartAtOnceSendAtTheUsualRate() {
         int routers = 4000;
         double mean = 1900 * (28 + 11 + 5 * 40) / 6000.0;
         int[] inFifths = new int[15];
--- a/router/src/test/java/stagepier/peers/SampledFleet.java
+++ b/router/src/test/java/stagepier/peers/SampledFleet.java
@@ -10,44 +10,47 @@
 import stagepier.Api;
 
 /**
- * All routers of a fleet in virtual time as one of them hears them: the real schedule, sampler, codec and sums, with
- * attempts in flight drawn anew for each report of a module. Eight routers in ten see half of the mean load, fifteen in
- * a hundred twice, five in a hundred six times the mean. A busy server has three times the mean share of all attempts.
+ * Simulates all routers of a fleet in virtual time, as one receiver sees them: the real schedule, sampler, codec and
+ * sums, with attempts in flight drawn anew for each report of a routing module. 80 % of the routers have half of the
+ * mean load, 15 % twice, and 5 % six times the mean load. A busy server has three times the mean share of all attempts.
  */
 final class SampledFleet {
     static final int SERVERS = 240;
     static final int ZONES = 37;
-    /** Of a shortest deadline of one and a half seconds. */
+    /** Report period for a shortest deadline of 1.5 s, in seconds. */
     static final double PERIOD = 0.27;
-    /** Attempts in flight of a router on the mean. */
+    /** Mean number of attempts in flight of a router. */
     static final double IN_FLIGHT = 42;
 
     static final long BUSY = 7;
     static final double BUSY_SHARE = 3;
     static final long USUAL = 8;
 
-    /** What a router has sent. */
+    /** A message sent by a router. */
     record Sent(double at, int router, byte[] message) {
         int bytes() {
-            return message.length + ReportSchedule.DATAGRAM_HEADERS;
+            return message.length + ReportSchedule.DATAGRAM_HEADER_BYTES;
         }
     }
 
     final int routers;
     private final SplittableRandom random;
-    /** Those that are started anew, and when; all of them have run for long before the play begins where none is. */
+    /**
+     * The routers that are restarted at {@code restartAt}; all others have been running for long when the simulation
+     * starts.
+     */
     IntPredicate restarted = router -> false;
 
     double restartAt = Double.POSITIVE_INFINITY;
-    /** Those that are gone from a moment on. */
+    /** The routers that stop at {@code stopAt}. */
     IntPredicate stopped = router -> false;
 
     double stopAt = Double.POSITIVE_INFINITY;
-    /** Those that have a circuit open against the busy server from a moment on. */
+    /** The routers that have an open circuit to the busy server from {@code openAt} on. */
     IntPredicate open = router -> false;
 
     double openAt = Double.POSITIVE_INFINITY;
-    /** Load goes up and down from one report to the next, by this part of it. */
+    /** Fraction of the load by which it goes up or down from one report to the next. */
     double swing;
 
     SampledFleet(int routers, long seed) {
@@ -59,13 +62,13 @@
         return router % ZONES;
     }
 
-    /** Times the mean load. */
+    /** Returns the load of a router as a multiple of the mean load. */
     static double load(int router) {
         int of = router % 20;
         return of < 16 ? 0.5 : of < 19 ? 2 : 6;
     }
 
-    /** The mean of all routers' loads, which is 1 where there are many. */
+    /** Returns the mean of all routers' loads, which is 1 for large fleets. */
     double meanLoad() {
         double sum = 0;
         for (int router = 0; router < routers; router++) {
@@ -74,18 +77,18 @@
         return sum / routers;
     }
 
-    /** Attempts in flight of one router at a server with such a share, on the mean. */
+    /** Returns the mean number of attempts in flight of one router at a server with this share. */
     double mean(int router, double share) {
         return IN_FLIGHT / SERVERS * share * load(router) / meanLoad();
     }
 
-    /** Servers at which a router has anything in flight, on the mean. */
+    /** Returns the mean number of servers at which a router has attempts in flight. */
     double entries(int router) {
         return SERVERS * -Math.expm1(-mean(router, 1));
     }
 
-    /** The true sum at a moment: that of numbers drawn by Poisson's law is drawn by it, too. */
-    int truth(double share) {
+    /** Returns the true sum at a random moment: a sum of Poisson variables has a Poisson distribution, too. */
+    int trueSum(double share) {
         double sum = 0;
         for (int router = 0; router < routers; router++) {
             sum += mean(router, share);
@@ -105,34 +108,34 @@
         return n;
     }
 
-    /** What all routers send from time 0 on, in order. */
-    List<Sent> play(double seconds) {
+    /** Returns the messages of all routers from time 0 on, in order of time. */
+    List<Sent> simulate(double seconds) {
         List<Sent> sent = new ArrayList<>();
         double meanLoad = meanLoad();
         for (int router = 0; router < routers; router++) {
-            play(router, load(router) / meanLoad, seconds, sent);
+            simulate(router, load(router) / meanLoad, seconds, sent);
         }
         sent.sort(Comparator.comparingDouble(Sent::at));
         return sent;
     }
 
-    private void play(int router, double load, double seconds, List<Sent> sent) {
+    private void simulate(int router, double load, double seconds, List<Sent> sent) {
         Api.Settings settings = settings(routers, zone(router));
         PeerReports reports = new PeerReports(settings, ZONES, random.nextLong());
         boolean restarts = restarted.test(router);
-        double until = stopped.test(router) ? Math.min(seconds, stopAt) : seconds;
+        double endsAt = stopped.test(router) ? Math.min(seconds, stopAt) : seconds;
         boolean opens = open.test(router);
-        boolean fresh = false;
-        for (double now = PERIOD * random.nextDouble(); now < until; now += PERIOD * random.nextDouble(0.5, 1.5)) {
+        boolean justStarted = false;
+        for (double now = PERIOD * random.nextDouble(); now < endsAt; now += PERIOD * random.nextDouble(0.5, 1.5)) {
             if (restarts && now >= restartAt) {
                 restarts = false;
-                fresh = true;
+                justStarted = true;
                 reports = new PeerReports(settings, ZONES, random.nextLong());
             }
-            double level = swing == 0 ? load : load * (random.nextBoolean() ? 1 + swing : 1 - swing);
-            // A process that has just started has nothing in flight yet.
-            byte[] message = reports.message(now, new Report(fresh ? 0 : level, opens && now >= openAt));
-            fresh = false;
+            double currentLoad = swing == 0 ? load : load * (random.nextBoolean() ? 1 + swing : 1 - swing);
+            // A process that has just started has no attempts in flight yet.
+            byte[] message = reports.message(now, new Report(justStarted ? 0 : currentLoad, opens && now >= openAt));
+            justStarted = false;
             if (message != null) {
                 sent.add(new Sent(now, router, message));
             }
@@ -159,8 +162,8 @@
     }
 
     /**
-     * What a module reports: its length is drawn at once, its entries only where they are asked for, for most are not
-     * sent.
+     * A report of a routing module. Its length is drawn at once, but its entries only on access, because most reports
+     * are not sent.
      */
     private final class Report extends AbstractList<Api.ServerReport> {
         private final double mean;
@@ -168,11 +171,12 @@
         private final int size;
         private List<Api.ServerReport> entries;
 
-        Report(double level, boolean open) {
+        Report(double currentLoad, boolean open) {
             this.open = open;
-            mean = IN_FLIGHT / SERVERS * level;
-            double part = -Math.expm1(-mean);
-            double drawn = part * SERVERS + Math.sqrt(part * (1 - part) * SERVERS) * random.nextGaussian();
+            mean = IN_FLIGHT / SERVERS * currentLoad;
+            double probability = -Math.expm1(-mean);
+            double drawn = probability * SERVERS
+                    + Math.sqrt(probability * (1 - probability) * SERVERS) * random.nextGaussian();
             size = (int) Math.max(0, Math.min(SERVERS, Math.round(drawn)));
         }
 
