--- a/router/src/main/java/stagepier/link/AcceptControl.java
+++ b/router/src/main/java/stagepier/link/AcceptControl.java
@@ -7,21 +7,22 @@
 import java.util.function.Consumer;
 
 /**
- * Whether a listening channel accepts: while its owner wants that, and not in the moment after accept has failed. Guards against Netty's
- * own way with such a failure, which is to accept nobody for a second. The first handler of the listening channel; on its event loop.
+ * Controls whether a listening channel accepts connections: while its owner wants that, except for a moment after
+ * accept has failed. This replaces Netty's handling of such a failure, which is to accept no connections for a second.
+ * The first handler of the listening channel; on its event loop.
  */
 public final class AcceptControl extends ChannelInboundHandlerAdapter {
-    /** Long enough that a lasting failure costs no processor time to speak of. */
+    /** Long enough that a lasting failure costs little processor time. */
     private static final int RETRY_MS = 5;
 
-    private final Consumer<Throwable> failed;
+    private final Consumer<Throwable> onFailure;
     private Channel channel;
-    private boolean isWanted = true;
+    private boolean wanted = true;
     private boolean isRetryDue;
 
-    /** @param failed is told of each failure */
-    public AcceptControl(Consumer<Throwable> failed) {
-        this.failed = failed;
+    /** @param onFailure called for each failure */
+    public AcceptControl(Consumer<Throwable> onFailure) {
+        this.onFailure = onFailure;
     }
 
     @Override
@@ -29,20 +30,20 @@
         channel = ctx.channel();
     }
 
-    /** Accepts from now on, or leaves connections in the backlog. */
-    public void accept(boolean wanted) {
-        isWanted = wanted;
+    /** Accepts connections from now on, or leaves them in the backlog. */
+    public void accept(boolean newWanted) {
+        wanted = newWanted;
         apply();
     }
 
-    /** Whether accept has just failed, so that connections may be waiting in the backlog. */
+    /** Returns whether accept has just failed, so that connections may be waiting in the backlog. */
     public boolean isRetryDue() {
         return isRetryDue;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        failed.accept(cause);
+        onFailure.accept(cause);
         if (!isRetryDue) {
             isRetryDue = true;
             apply();
@@ -56,6 +57,6 @@
     }
 
     private void apply() {
-        channel.config().setAutoRead(isWanted && !isRetryDue);
+        channel.config().setAutoRead(wanted && !isRetryDue);
     }
 }
--- a/router/src/main/java/stagepier/link/CloseReason.java
+++ b/router/src/main/java/stagepier/link/CloseReason.java
@@ -1,31 +1,31 @@
 package stagepier.link;
 
-/** Why a connection was ended. */
+/** The reason why a connection was closed. */
 public enum CloseReason {
-    /** The other side has ended it, or it broke. */
+    /** The peer closed the connection, or it broke. */
     PEER_ENDED,
-    /** The other side asked for its end, or has its one answer. */
+    /** The peer asked for the close, or received its one answer. */
     DONE,
-    /** What came on it makes no sense. */
+    /** The input was malformed. */
     MALFORMED,
-    /** A fault of this program showed on it. */
+    /** An internal error occurred on the connection. */
     FAULT,
-    /** Its place was given to somebody else. */
+    /** Its slot was given to another connection. */
     SLOT_GIVEN_UP,
-    /** What is on its way to the client cannot be finished. */
+    /** A value that is being sent to the client cannot be completed. */
     VALUE_BROKEN,
-    /** A drain found it idle. */
+    /** It was idle during a drain. */
     DRAINED,
-    /** A drain has come to its end, and its client was still sending. */
+    /** The time of a drain is over and the client was still sending. */
     DRAIN_TIME_OVER,
     /** The cache server drains, is gone, or has another address or process. */
     SERVER_RETIRED,
-    /** Nobody waits for anything on it any more. */
+    /** No request waits for anything on it any more. */
     UNUSED,
-    /** It has rested so long that the other side may close it at any time. */
+    /** It was idle for so long that the peer may close it at any time. */
     RESTED;
 
-    /** Whether this process chose to end it, and could as well have waited. */
+    /** Returns whether this process chose to close the connection and could as well have waited. */
     public boolean isOwnChoice() {
         return switch (this) {
             case DONE, SLOT_GIVEN_UP, DRAINED, DRAIN_TIME_OVER, UNUSED, RESTED -> true;
--- a/router/src/main/java/stagepier/link/InterruptibleServerSocketChannel.java
+++ b/router/src/main/java/stagepier/link/InterruptibleServerSocketChannel.java
@@ -10,7 +10,7 @@
 final class InterruptibleServerSocketChannel extends NioServerSocketChannel {
     InterruptibleServerSocketChannel() {}
 
-    /** @param listening a socket that listens already */
+    /** @param listening a socket that already listens */
     InterruptibleServerSocketChannel(ServerSocketChannel listening) {
         super(listening);
     }
--- a/router/src/main/java/stagepier/link/InterruptibleSocketChannel.java
+++ b/router/src/main/java/stagepier/link/InterruptibleSocketChannel.java
@@ -6,15 +6,15 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP channel for which an interrupted read has read nothing. The JDK returns {@code IOStatus.INTERRUPTED} (-3) from a read that does not
- * block and got EINTR, and Netty takes any number below 0 for the end of the stream.
+ * A TCP channel that treats an interrupted read as a read of nothing. The JDK returns {@code IOStatus.INTERRUPTED} (-3)
+ * from a non-blocking read that got EINTR, and Netty takes any negative number for the end of the stream.
  */
 final class InterruptibleSocketChannel extends NioSocketChannel {
     private static final int END_OF_STREAM = -1;
 
     InterruptibleSocketChannel() {}
 
-    /** @param accepted a connection of the parent's */
+    /** @param accepted a connection accepted by the parent */
     InterruptibleSocketChannel(Channel parent, SocketChannel accepted) {
         super(parent, accepted);
     }
--- a/router/src/main/java/stagepier/link/LingeringClose.java
+++ b/router/src/main/java/stagepier/link/LingeringClose.java
@@ -6,20 +6,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The lingering close of one channel: ends the sending, then reads and discards what still comes until the other side ends its
- * sending as well, for a bounded time and a bounded number of bytes. Guards against a reset: the system sends one when a socket
- * is closed on bytes that lie unread, or gets some later, and a reset destroys the last answer on its way. On the event loop.
+ * The lingering close of one channel: shuts down the output, then reads and discards input until the peer ends its
+ * stream as well, for a bounded time and a bounded number of bytes. The system sends a reset when a socket is closed
+ * with unread input or receives some later, and a reset would destroy the last answer before the peer reads it. On the
+ * event loop.
  */
 final class LingeringClose {
-    /** Longer than a round trip to any client; who has not ended its sending by then does not mean to. */
-    static final int MOST_MS = 300;
-    /** Bytes that are read and discarded at the most. */
-    static final int BYTES_MOST = 1 << 20;
+    /** Longer than a round trip to any client. A peer that has not ended its stream by then is not going to. */
+    static final int TIMEOUT_MS = 300;
+    /** Maximum number of bytes that are read and discarded. */
+    static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final DuplexChannel channel;
     private final Runnable abort;
     private final Future<?> timer;
-    private int left = BYTES_MOST;
+    private int remainingBytes = MAX_DISCARDED_BYTES;
     private boolean outputEnded;
     private boolean inputEnded;
 
@@ -27,16 +28,16 @@
     private LingeringClose(DuplexChannel channel, Runnable abort) {
         this.channel = channel;
         this.abort = abort;
-        timer = channel.eventLoop().schedule(abort, MOST_MS, TimeUnit.MILLISECONDS);
+        timer = channel.eventLoop().schedule(abort, TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Begins one, or returns null where the channel has no two directions to end one by one. */
+    /** Starts a lingering close, or returns null if the channel cannot be half-closed. */
     static LingeringClose of(Channel channel, Runnable abort) {
         return channel instanceof DuplexChannel duplex && duplex.isActive() ? new LingeringClose(duplex, abort) : null;
     }
 
-    /** All that was queued has been written. */
-    void allWritten() {
+    /** All queued output has been written. */
+    void onAllWritten() {
         if (!outputEnded) {
             outputEnded = true;
             if (inputEnded) {
@@ -47,28 +48,28 @@
         }
     }
 
-    /** The other side has ended its sending; what is queued for it is still written. */
-    void endOfStream() {
+    /** The peer has ended its stream; queued output is still written. */
+    void onEndOfStream() {
         inputEnded = true;
         if (outputEnded) {
             abort.run();
         }
     }
 
-    /** So many bytes have come and were discarded. */
-    void discarded(int bytes) {
-        left -= bytes;
-        if (left <= 0) {
+    /** Input of this many bytes has arrived and was discarded. */
+    void onDiscarded(int bytes) {
+        remainingBytes -= bytes;
+        if (remainingBytes <= 0) {
             abort.run();
         }
     }
 
     boolean wantsInput() {
-        return !inputEnded && left > 0;
+        return !inputEnded && remainingBytes > 0;
     }
 
     /** The channel is closed. */
-    void over() {
+    void onChannelClosed() {
         timer.cancel(false);
     }
 }
--- a/router/src/main/java/stagepier/link/Link.java
+++ b/router/src/main/java/stagepier/link/Link.java
@@ -17,64 +17,69 @@
 import stagepier.memcache.RingBuffer;
 
 /**
- * One connection with one ring buffer a direction; owns both and the channel. Reads no more than its ring has
- * room for, and hands bytes to the socket one piece at a time, so that what was written is known, not guessed.
+ * One connection with one ring buffer for each direction; owns both and the channel. Reads only as much as its ring has
+ * room for, and hands bytes to the socket one chunk at a time, so that the number of written bytes is known exactly.
  *
- * <p>It ends in one of two ways: {@link #close} as its kind says by {@link #lingers}, or {@link #abort} where the connection is
- * broken or whoever is at its other end deserves no wait. Once it is closed nothing is taken or answered on it any more; its
- * channel is given back then, or at the end of a {@link LingeringClose}.
+ * <p>It is closed in one of two ways: by {@link #close}, which lingers if {@link #lingers} returns true, or by {@link
+ * #abort} if the connection is broken or the peer is not worth waiting for. Once it is closed, no more input is
+ * processed or answered; its channel is released then, or at the end of a {@link LingeringClose}.
  */
 public abstract class Link extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(Link.class);
-    /** One line at debug level for the end of each connection, under a name of its own, so that it can be turned on alone. */
-    private static final Logger ENDS = LoggerFactory.getLogger("stagepier.connections");
+    /**
+     * Logs one line at debug level for each closed connection, under a name of its own so that it can be enabled
+     * separately.
+     */
+    private static final Logger CLOSE_LOG = LoggerFactory.getLogger("stagepier.connections");
 
-    private static final int READ_MOST = 8192;
+    private static final int MAX_READ_BYTES = 8192;
 
-    private final RingBuffer in = new RingBuffer();
-    private final RingBuffer out = new RingBuffer();
+    private final RingBuffer inbound = new RingBuffer();
+    private final RingBuffer outbound = new RingBuffer();
     private Channel channel;
     private boolean writing;
     private boolean pumping;
     private boolean closed;
-    /** Nothing more comes, and what has come is still to be taken. */
-    private boolean inputOver;
-    /** Why it was closed; null before that. */
+    /** No more input will arrive, but what is in the ring is still to be processed. */
+    private boolean inputEnded;
+    /** Null until the connection is closed. */
     private CloseReason closeReason;
-    /** On its way out, or null. */
-    private LingeringClose lingering;
+    /** The lingering close in progress, or null. */
+    private LingeringClose lingeringClose;
 
     private boolean givenBack;
     private long queuedBytes;
     private long writtenBytes;
 
-    /** A link goes on to another channel where the one before could not be connected. */
+    /** A link moves to another channel if the previous one could not be connected. */
     @Override
     public final boolean isSharable() {
         return true;
     }
 
     /**
-     * Gives the link its channel while that is set up: once, or anew after a channel that was never up. The channel must not read by
-     * itself.
+     * Sets the channel of the link during channel initialisation: once, or again after a channel that was never
+     * connected. The channel must not use auto-read.
      */
-    public final void attach(Channel own) {
-        channel = own;
-        own.config().setAutoRead(false);
-        own.config().setRecvByteBufAllocator(new DefaultMaxMessagesRecvByteBufAllocator(1) {
+    public final void attach(Channel newChannel) {
+        channel = newChannel;
+        newChannel.config().setAutoRead(false);
+        newChannel.config().setRecvByteBufAllocator(new DefaultMaxMessagesRecvByteBufAllocator(1) {
             @SuppressWarnings("deprecation")
             @Override
             public Handle newHandle() {
                 return new MaxMessageHandle() {
-                    /** Guards against bytes that have no place: a full ring is not read into. */
+                    /** Limits a read to the free space of the ring, so that all bytes read can be stored. */
                     @Override
                     public int guess() {
-                        return lingering != null ? READ_MOST : Math.max(1, Math.min(readMost(), in.free()));
+                        return lingeringClose != null
+                                ? MAX_READ_BYTES
+                                : Math.max(1, Math.min(readMost(), inbound.free()));
                     }
                 };
             }
         });
-        own.pipeline().addLast(this);
+        newChannel.pipeline().addLast(this);
     }
 
     @Override
@@ -87,17 +92,17 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         if (closed) {
-            // Never a command: the other side was told that nothing is answered any more.
+            // Not a command: the link is closed and answers nothing more.
             int n = bytes.readableBytes();
             bytes.release();
-            if (lingering != null) {
-                lingering.discarded(n);
+            if (lingeringClose != null) {
+                lingeringClose.onDiscarded(n);
             }
             return;
         }
         try {
             for (ByteBuffer piece : bytes.nioBuffers()) {
-                in.put(piece);
+                inbound.put(piece);
             }
         } finally {
             bytes.release();
@@ -105,7 +110,7 @@
         onBytes();
     }
 
-    /** Bytes have come. Takes what can be taken of them, now or later. */
+    /** Called when input has arrived. Processes it as far as possible, now or later. */
     protected void onBytes() {
         digest();
     }
@@ -115,145 +120,149 @@
         readOn();
     }
 
-    /** Takes what can be taken of the bytes that are there, then reads on if there is room. */
+    /** Processes the buffered input as far as possible, then reads more if there is room. */
     protected final void digest() {
         if (closed) {
             return;
         }
         try {
-            onInput(in);
+            onInput(inbound);
         } catch (MalformedException e) {
             onMalformed(e);
         }
-        if (inputOver) {
-            nothingMoreComes();
+        if (inputEnded) {
+            endInput();
         }
     }
 
     protected final void readOn() {
-        if (lingering != null) {
-            if (!givenBack && lingering.wantsInput()) {
+        if (lingeringClose != null) {
+            if (!givenBack && lingeringClose.wantsInput()) {
                 channel.read();
             }
-        } else if (!closed && in.free() > 0 && wantsInput() && isActive()) {
+        } else if (!closed && inbound.free() > 0 && wantsInput() && isActive()) {
             channel.read();
         }
     }
 
-    /** Reads what has come by this moment, without waiting to be told of it. */
+    /** Reads what has arrived by now without waiting for the selector. */
     protected final void readNow() {
         if (!closed
-                && in.free() > 0
+                && inbound.free() > 0
                 && wantsInput()
                 && isActive()
                 && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
         if (!closed && channel != null && !channel.isOpen()) {
-            // The channel tells of its end by way of a task, whoever read that end, and nothing may be written until
-            // then.
-            nothingMoreComes();
+            // Whichever code read the end of the stream, the channel reports its close by a later task, and nothing may
+            // be written until then.
+            endInput();
         }
     }
 
-    /** Where a channel may be half closed: the other side has ended its sending. */
+    /** Handles the end of the peer's stream on a channel that may be half-closed. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event == ChannelInputShutdownEvent.INSTANCE) {
             if (!closed) {
                 onEndOfStream();
             }
-            if (lingering != null) {
-                lingering.endOfStream();
+            if (lingeringClose != null) {
+                lingeringClose.onEndOfStream();
             }
         }
     }
 
-    /** The other side sends no more, and may still read. */
+    /** Called when the peer sends no more but may still read. */
     protected void onEndOfStream() {
         close(CloseReason.PEER_ENDED);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        nothingMoreComes();
+        endInput();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof java.io.IOException) {
-            nothingMoreComes();
+            endInput();
         } else {
-            LOG.error("a link failed", cause);
+            LOG.error("closing a connection after an internal error", cause);
             abort(CloseReason.FAULT);
         }
     }
 
     /**
-     * The other side has closed or reset the connection. Guards against throwing away what came before that and lies in the ring,
-     * where it waits for room elsewhere: it is taken first, and the link ends after it.
+     * Handles a close or reset by the peer. Input that arrived before and waits in the ring for room elsewhere must not
+     * be lost: it is processed first, and the link is closed after that.
      */
-    private void nothingMoreComes() {
-        if (closed || in.size() == 0 || !takesLater()) {
+    private void endInput() {
+        if (closed || inbound.size() == 0 || !takesLater()) {
             abort(CloseReason.PEER_ENDED);
-        } else if (!inputOver) {
-            inputOver = true;
+        } else if (!inputEnded) {
+            inputEnded = true;
             channel.close();
             onInputOver();
         }
     }
 
-    /** Whether what lies in the ring will be taken by and by, though nothing more comes. */
+    /** Returns whether the input in the ring will still be processed although no more arrives. */
     protected boolean takesLater() {
         return false;
     }
 
-    /** Nothing more comes, and what lies in the ring is taken by and by. */
+    /** Called when no more input arrives while the rest in the ring is still being processed. */
     protected void onInputOver() {}
 
-    /** Whether nothing more comes on it. */
+    /** Returns whether no more input will arrive. */
     protected final boolean isInputOver() {
-        return inputOver;
+        return inputEnded;
     }
 
     /**
-     * Ends the link in the way of its kind: the one place where that is chosen. Nothing that comes after this is taken. A link
-     * that lingers writes what is queued, ends its sending and reads on for a while; any other gives its channel back at once.
+     * Closes the link, lingering if {@link #lingers} returns true; only this method decides that. Later input is not
+     * processed. A lingering link writes its queued output, ends its stream and reads for a while; any other releases
+     * its channel at once.
      */
     protected final void close(CloseReason reason) {
         if (closed) {
             return;
         }
-        lingering = lingers() ? LingeringClose.of(channel, () -> abort(reason)) : null;
-        if (lingering == null) {
+        lingeringClose = lingers() ? LingeringClose.of(channel, () -> abort(reason)) : null;
+        if (lingeringClose == null) {
             abort(reason);
             return;
         }
-        in.skip(in.size());
-        end(reason);
-        if (out.size() == 0) {
-            lingering.allWritten();
+        inbound.skip(inbound.size());
+        markClosed(reason);
+        if (outbound.size() == 0) {
+            lingeringClose.onAllWritten();
         } else {
             pump();
         }
         readOn();
     }
 
-    /** Whether the other side may still send when this link closes, and has something on its way that a reset would destroy. */
+    /**
+     * Returns whether the peer may still send when this link closes, and has output in flight to it that a reset would
+     * destroy.
+     */
     protected boolean lingers() {
         return false;
     }
 
-    /** Gives the channel back at once, whatever is on its way. */
+    /** Releases the channel at once and drops all queued output. */
     protected final void abort(CloseReason reason) {
         if (channel != null) {
             channel.close();
         }
-        end(reason);
+        markClosed(reason);
         if (!givenBack) {
             givenBack = true;
-            if (lingering != null) {
-                lingering.over();
+            if (lingeringClose != null) {
+                lingeringClose.onChannelClosed();
             }
             onGivenBack();
         }
@@ -263,142 +272,146 @@
         return channel != null && channel.isActive();
     }
 
-    private void end(CloseReason reason) {
+    private void markClosed(CloseReason reason) {
         if (!closed) {
             closed = true;
             closeReason = reason;
-            logEnd();
+            logClose();
             onClosed();
         }
     }
 
-    private void logEnd() {
-        if (ENDS.isDebugEnabled()) {
-            ENDS.debug(
+    private void logClose() {
+        if (CLOSE_LOG.isDebugEnabled()) {
+            CLOSE_LOG.debug(
                     "{} {} closed reason={} unread={} queued={}",
                     getClass().getSimpleName(),
                     channel,
                     closeReason,
-                    in.size(),
-                    out.size());
+                    inbound.size(),
+                    outbound.size());
         }
     }
 
-    /** Why it was closed; null before that. */
+    /** Returns the reason of the close; null before that. */
     public final CloseReason closeReason() {
         return closeReason;
     }
 
-    /** Nothing is taken or answered any more. */
+    /** Returns whether the link is closed: no more input is processed or answered. */
     protected final boolean isClosed() {
         return closed;
     }
 
-    /** The channel is closed as well. */
+    /** Returns whether the channel is closed as well. */
     protected final boolean isGivenBack() {
         return givenBack;
     }
 
-    /** Queues a whole message; returns the count of bytes written once its last one is. */
+    /** Queues a whole message; returns the number of written bytes that is reached when its last byte is written. */
     protected final long queue(byte[] message) {
-        out.put(message);
+        outbound.put(message);
         queuedBytes += message.length;
         return queuedBytes;
     }
 
-    /** Queues as much of a message, from an index on, as there is room for; returns how much. */
+    /** Queues as much of a message, from an index on, as there is room for; returns that number of bytes. */
     protected final int queue(byte[] message, int from) {
-        int n = Math.min(message.length - from, out.free());
-        out.put(ByteBuffer.wrap(message, from, n));
+        int n = Math.min(message.length - from, outbound.free());
+        outbound.put(ByteBuffer.wrap(message, from, n));
         queuedBytes += n;
         return n;
     }
 
-    /** Queues what one gives, as far as there is room; returns how many bytes. */
-    protected final int queue(ToIntFunction<RingBuffer> giver) {
-        int n = giver.applyAsInt(out);
+    /** Queues what a source provides, as far as there is room; returns the number of bytes. */
+    protected final int queue(ToIntFunction<RingBuffer> source) {
+        int n = source.applyAsInt(outbound);
         queuedBytes += n;
         return n;
     }
 
-    /** What has come, for who moves it on. */
+    /** Returns the buffered input, for a caller that moves it elsewhere. */
     protected final RingBuffer input() {
-        return in;
+        return inbound;
     }
 
-    /** Bytes that the socket has taken so far. */
+    /** Returns the number of bytes that the socket has accepted so far, in complete chunks. */
     protected final long writtenBytes() {
         return writtenBytes;
     }
 
-    /** The same with those of a piece of which the socket has taken only a part. */
+    /**
+     * Returns the number of bytes that the socket has accepted so far, including a chunk of which it has accepted only
+     * a part.
+     */
     protected final long takenBytes() {
-        ChannelOutboundBuffer pieces = channel == null ? null : channel.unsafe().outboundBuffer();
-        return writtenBytes + (writing && pieces != null ? pieces.currentProgress() : 0);
+        ChannelOutboundBuffer outputBuffer =
+                channel == null ? null : channel.unsafe().outboundBuffer();
+        return writtenBytes + (writing && outputBuffer != null ? outputBuffer.currentProgress() : 0);
     }
 
-    /** Bytes that have come and were not taken yet. */
+    /** Returns the number of input bytes that have not been processed yet. */
     protected final int unread() {
-        return in.size();
+        return inbound.size();
     }
 
-    /** Bytes that are read at once at the most. */
+    /** Returns the maximum number of bytes of one read. */
     protected int readMost() {
-        return READ_MOST;
+        return MAX_READ_BYTES;
     }
 
-    /** Memory that its buffers take. */
+    /** Returns the memory used by the buffers in bytes. */
     public int heldBytes() {
-        return in.capacity() + out.capacity();
+        return inbound.capacity() + outbound.capacity();
     }
 
     protected final boolean nothingQueued() {
-        return out.size() == 0;
+        return outbound.size() == 0;
     }
 
-    /** Writes what is queued and what {@link #fill} adds, until the socket takes no more. */
+    /** Writes what is queued and what {@link #fill} adds, until the socket accepts no more. */
     protected final void pump() {
         if (pumping) {
             return;
         }
         pumping = true;
         try {
-            while (!writing && (!closed || lingering != null) && isActive()) {
+            while (!writing && (!closed || lingeringClose != null) && isActive()) {
                 if (!closed) {
                     fill();
                 }
-                ByteBuffer front = out.front();
+                ByteBuffer front = outbound.front();
                 if (!front.hasRemaining()) {
                     return;
                 }
-                write(front);
+                writeChunk(front);
             }
         } finally {
             pumping = false;
         }
     }
 
-    private void write(ByteBuffer front) {
+    private void writeChunk(ByteBuffer front) {
         int n = front.remaining();
         writing = true;
         channel.writeAndFlush(Unpooled.wrappedBuffer(front)).addListener(done -> {
             writing = false;
             if (done.isSuccess()) {
-                out.skip(n);
+                outbound.skip(n);
                 writtenBytes += n;
-                written();
+                afterWrite();
             } else {
-                nothingMoreComes();
+                endInput();
             }
         });
     }
 
-    private void written() {
-        if (lingering == null) {
+    private void afterWrite() {
+        if (lingeringClose == null) {
             onWritten();
             pump();
-        } else if (out.size() == 0) {
-            lingering.allWritten();
+        } else if (outbound.size() == 0) {
+            lingeringClose.onAllWritten();
         } else {
             pump();
         }
@@ -406,7 +419,7 @@
 
     protected abstract void onUp();
 
-    /** Takes whole messages off the ring. */
+    /** Processes whole messages from the ring. */
     protected abstract void onInput(RingBuffer bytes) throws MalformedException;
 
     protected abstract void onMalformed(MalformedException e);
@@ -418,11 +431,11 @@
 
     protected abstract void onWritten();
 
-    /** Called once, whoever closed: nothing is taken or answered any more. */
+    /** Called once, whichever side closed: no more input is processed or answered. */
     protected abstract void onClosed();
 
     /** Called once, after {@link #onClosed}: the channel is closed as well. */
     protected void onGivenBack() {
-        // Most kinds hold nothing for the channel alone.
+        // Most subclasses hold no resources for the channel alone.
     }
 }
--- a/router/src/main/java/stagepier/link/RetryingBind.java
+++ b/router/src/main/java/stagepier/link/RetryingBind.java
@@ -10,30 +10,30 @@
 import java.util.function.Supplier;
 
 /**
- * A socket that is bound as soon as that can be: its address may be held by the process that this one takes over from. Owns the
- * channel. On the event loop.
+ * Binds a socket, with retries until that succeeds: the address may still be held by the process that this one
+ * replaces. Owns the channel. On the event loop.
  */
 public final class RetryingBind {
-    private static final int AGAIN_MS = 200;
+    private static final int RETRY_DELAY_MS = 200;
 
     private final EventLoop loop;
     private final Supplier<ChannelFuture> bind;
-    private final Consumer<Throwable> waits;
+    private final Consumer<Throwable> onFirstFailure;
     private Channel channel;
     private boolean stopped;
-    private boolean waitReported;
+    private boolean failureReported;
 
     /**
-     * @param bind  tries to bind, once; may throw a {@link ChannelException}
-     * @param waits told why it has to wait, the first time only
+     * @param bind           tries to bind once; may throw a {@link ChannelException}
+     * @param onFirstFailure called with the cause of the first failure only
      */
-    public RetryingBind(EventLoop loop, Supplier<ChannelFuture> bind, Consumer<Throwable> waits) {
+    public RetryingBind(EventLoop loop, Supplier<ChannelFuture> bind, Consumer<Throwable> onFirstFailure) {
         this.loop = loop;
         this.bind = bind;
-        this.waits = waits;
+        this.onFirstFailure = onFirstFailure;
     }
 
-    /** Binds, and tries until it can. */
+    /** Binds the socket, with retries until that succeeds. */
     public void start() {
         if (stopped) {
             return;
@@ -42,38 +42,38 @@
         try {
             bound = bind.get();
         } catch (ChannelException e) {
-            again(e);
+            scheduleRetry(e);
             return;
         }
         bound.addListener((ChannelFuture done) -> {
             if (done.isSuccess()) {
-                bound(done.channel());
+                onBound(done.channel());
             } else {
-                again(done.cause());
+                scheduleRetry(done.cause());
             }
         });
     }
 
-    /** Guards against a socket that an error has closed, and that nobody would miss. */
-    private void bound(Channel own) {
-        channel = own;
-        own.closeFuture().addListener(closed -> {
+    /** Binds again when an error has closed the socket, which would otherwise go unnoticed. */
+    private void onBound(Channel newChannel) {
+        channel = newChannel;
+        newChannel.closeFuture().addListener(closed -> {
             if (!stopped && !loop.isShuttingDown()) {
                 channel = null;
-                again(new ClosedChannelException());
+                scheduleRetry(new ClosedChannelException());
             }
         });
     }
 
-    private void again(Throwable cause) {
-        if (!waitReported) {
-            waitReported = true;
-            waits.accept(cause);
+    private void scheduleRetry(Throwable cause) {
+        if (!failureReported) {
+            failureReported = true;
+            onFirstFailure.accept(cause);
         }
-        loop.schedule(this::start, AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::start, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the socket, or gives up trying. */
+    /** Closes the socket, or stops retrying. */
     public void stop() {
         stopped = true;
         if (channel != null) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** The bound channel, or null while there is none. */
+    /** Returns the bound channel, or null if there is none. */
     public Channel channel() {
         return channel;
     }
--- a/router/src/main/java/stagepier/link/Sockets.java
+++ b/router/src/main/java/stagepier/link/Sockets.java
@@ -10,36 +10,36 @@
 import java.util.function.Supplier;
 
 /**
- * Opens the sockets of channels before a bootstrap is given them. Guards against a bootstrap that opens one itself and tells of a socket
- * that the system refuses on a thread of its own, in place of the event loop on which all else happens.
+ * Opens the sockets of channels before a bootstrap uses them. A bootstrap that opens a socket itself would report a
+ * failure to open it on another thread than the event loop.
  *
- * <p>Each method throws an {@link io.netty.channel.ChannelException} where the system has no socket now. What it returns is for one
- * connection or listening socket.
+ * <p>Each method throws an {@link io.netty.channel.ChannelException} if the system cannot open a socket now. The
+ * returned factory is for one connection or listening socket.
  */
 public final class Sockets {
     private Sockets() {}
 
-    /** A TCP socket that is to be connected. */
+    /** Opens a TCP socket to be connected. */
     public static ChannelFactory<NioSocketChannel> connecting() {
-        return opened(InterruptibleSocketChannel::new);
+        return openNow(InterruptibleSocketChannel::new);
     }
 
-    /** A TCP socket that is to listen. */
+    /** Opens a TCP socket to listen. */
     public static ChannelFactory<NioServerSocketChannel> listening() {
-        return opened(InterruptibleServerSocketChannel::new);
+        return openNow(InterruptibleServerSocketChannel::new);
     }
 
-    /** A TCP socket that listens already, for which nothing is opened. */
+    /** Returns the factory for a TCP socket that already listens; opens nothing. */
     public static ChannelFactory<NioServerSocketChannel> listening(ServerSocketChannel socket) {
         return () -> new InterruptibleServerSocketChannel(socket);
     }
 
-    /** A UDP socket for IPv4. */
+    /** Opens a UDP socket for IPv4. */
     public static ChannelFactory<NioDatagramChannel> datagrams() {
-        return opened(() -> new NioDatagramChannel(SocketProtocolFamily.INET));
+        return openNow(() -> new NioDatagramChannel(SocketProtocolFamily.INET));
     }
 
-    private static <C extends Channel> ChannelFactory<C> opened(Supplier<C> open) {
+    private static <C extends Channel> ChannelFactory<C> openNow(Supplier<C> open) {
         C channel = open.get();
         return () -> channel;
     }
--- a/router/src/test/java/stagepier/link/RetryingBindTest.java
+++ b/router/src/test/java/stagepier/link/RetryingBindTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A socket that is to be there whatever happens to it. */
+/** A socket has to be bound again after any failure until it is stopped. */
 @Timeout(30)
 class RetryingBindTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,14 +44,14 @@
 
     private Channel nextBound() throws InterruptedException {
         Channel channel = bound.poll(10, TimeUnit.SECONDS);
-        assertTrue(channel != null && channel.isActive(), "never bound");
+        assertTrue(channel != null && channel.isActive(), "socket was not bound within 10 s");
         return channel;
     }
 
     @Test
-    void aSocketThatTheSystemRefusesIsTriedAgain() throws Exception {
+    void refusedBindIsRetried() throws Exception {
         AtomicInteger refusals = new AtomicInteger(2);
-        RetryingBind patient = new RetryingBind(
+        RetryingBind retryingBind = new RetryingBind(
                 loop,
                 () -> {
                     if (refusals.getAndDecrement() > 0) {
@@ -59,22 +59,22 @@
                     }
                     return bind();
                 },
-                why -> {});
-        loop.execute(patient::start);
+                cause -> {});
+        loop.execute(retryingBind::start);
         nextBound();
-        loop.submit(patient::stop).sync();
+        loop.submit(retryingBind::stop).sync();
     }
 
     @Test
-    void aSocketThatAnErrorClosesIsBoundAnewAndOneThatIsStoppedIsNot() throws Exception {
-        RetryingBind patient = new RetryingBind(loop, this::bind, why -> {});
-        loop.execute(patient::start);
+    void socketClosedByAnErrorIsBoundAgainAndAStoppedOneIsNot() throws Exception {
+        RetryingBind retryingBind = new RetryingBind(loop, this::bind, cause -> {});
+        loop.execute(retryingBind::start);
         Channel first = nextBound();
         first.close().sync();
         Channel second = nextBound();
         assertNotEquals(first, second);
-        loop.submit(patient::stop).sync();
+        loop.submit(retryingBind::stop).sync();
         second.closeFuture().sync();
-        assertTrue(loop.submit(() -> patient.channel() == null).get());
+        assertTrue(loop.submit(() -> retryingBind.channel() == null).get());
     }
 }
