--- a/router/src/main/java/stagepier/console/ConsoleCommand.java
+++ b/router/src/main/java/stagepier/console/ConsoleCommand.java
@@ -1,19 +1,19 @@
 package stagepier.console;
 
-/** What staff ask of a running router, in no front's words. */
+/** A command of the operators to a running router, independent of the protocol that carries it. */
 public sealed interface ConsoleCommand {
-    /** Whether this process is ready to serve. */
+    /** Asks whether this process is ready to serve. */
     record Status() implements ConsoleCommand {}
 
-    /** Take a cache server out. */
+    /** Takes a cache server out. */
     record Suspend(String server) implements ConsoleCommand {}
 
-    /** Put a cache server back. */
+    /** Puts a cache server back. */
     record Restore(String server) implements ConsoleCommand {}
 
-    /** Send clients away. */
+    /** Drains the clients. */
     record Pause() implements ConsoleCommand {}
 
-    /** The drain is over. */
+    /** Ends the drain. */
     record Resume() implements ConsoleCommand {}
 }
--- a/router/src/main/java/stagepier/console/ConsoleLink.java
+++ b/router/src/main/java/stagepier/console/ConsoleLink.java
@@ -9,23 +9,23 @@
 import stagepier.memcache.MalformedException;
 import stagepier.memcache.RingBuffer;
 
-/** A caller's connection: one line in, one line out, and the end. */
+/** A console connection: reads one line, writes one answer and closes. */
 final class ConsoleLink extends Link {
-    /** A caller that says nothing, or does not finish its line, is told so and let go after this. */
-    private static final int PATIENCE_MS = 10_000;
+    /** A caller that has not sent a complete line by then is refused and disconnected. */
+    private static final int LINE_TIMEOUT_MS = 10_000;
 
-    private final ConsoleListener owner;
+    private final ConsoleListener listener;
     private Future<?> timer;
 
-    ConsoleLink(ConsoleListener owner, Channel channel) {
-        this.owner = owner;
+    ConsoleLink(ConsoleListener listener, Channel channel) {
+        this.listener = listener;
         attach(channel);
     }
 
     @Override
     protected void onUp() {
-        owner.opened(this);
-        timer = owner.loop().schedule(() -> refuse("no call in time"), PATIENCE_MS, TimeUnit.MILLISECONDS);
+        listener.linkOpened(this);
+        timer = listener.loop().schedule(() -> refuse("no call in time"), LINE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -36,16 +36,16 @@
     @Override
     protected void onInput(RingBuffer bytes) {
         int end = bytes.indexOf((byte) '\n', 0);
-        if (end >= ConsoleProtocol.LONGEST || end < 0 && bytes.size() >= ConsoleProtocol.LONGEST) {
+        if (end >= ConsoleProtocol.MAX_LINE_BYTES || end < 0 && bytes.size() >= ConsoleProtocol.MAX_LINE_BYTES) {
             refuse("line too long");
         } else if (end >= 0) {
             String line = bytes.text(0, end);
             bytes.skip(bytes.size());
-            say(owner.call(line));
+            reply(listener.handleLine(line));
         }
     }
 
-    /** The caller sends no more: a call without a line end is none. */
+    /** The caller sends no more: a line without an end is not a command. */
     @Override
     protected void onEndOfStream() {
         if (unread() == 0) {
@@ -55,15 +55,15 @@
         }
     }
 
-    /** Tells the caller why, and lets it go. */
-    void refuse(String why) {
+    /** Answers with an error and closes. */
+    void refuse(String reason) {
         if (!isClosed()) {
-            say(owner.refusal(why));
+            reply(listener.refusal(reason));
         }
     }
 
-    /** Makes room for another caller. */
-    void leave() {
+    /** Frees the slot of this connection for another caller. */
+    void giveUpSlot() {
         if (isClosed()) {
             abort(CloseReason.SLOT_GIVEN_UP);
         } else {
@@ -71,8 +71,8 @@
         }
     }
 
-    /** Its one answer, and the end; what the caller still sends behind its line is discarded. */
-    private void say(String line) {
+    /** Writes the one answer and closes; further input is discarded. */
+    private void reply(String line) {
         queue(line.getBytes(StandardCharsets.ISO_8859_1));
         close(CloseReason.DONE);
     }
@@ -84,12 +84,12 @@
 
     @Override
     protected void fill() {
-        // Its one line is queued whole.
+        // The answer is queued completely by reply.
     }
 
     @Override
     protected void onWritten() {
-        // Nothing is written before it closes.
+        // Nothing is written before the link closes.
     }
 
     @Override
@@ -106,6 +106,6 @@
 
     @Override
     protected void onGivenBack() {
-        owner.closed(this);
+        listener.linkClosed(this);
     }
 }
--- a/router/src/main/java/stagepier/console/ConsoleListener.java
+++ b/router/src/main/java/stagepier/console/ConsoleListener.java
@@ -16,12 +16,15 @@
 import stagepier.link.RetryingBind;
 import stagepier.link.Sockets;
 
-/** The door for staff: owns its listening socket and the callers' links. */
+/** Listens for console connections of the operators: owns the listening socket and the connections. */
 public final class ConsoleListener {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleListener.class);
     private static final int BACKLOG = 64;
-    /** Links that there may be: more callers at a time make the oldest leave, so that silent ones keep nobody out. */
-    private static final int LINKS_MOST = 16;
+    /**
+     * Limit of open connections. A further caller closes the oldest connection, so that silent ones cannot block the
+     * console.
+     */
+    private static final int MAX_LINKS = 16;
 
     private final EventLoop loop;
     private final Operations operations;
@@ -34,10 +37,14 @@
         this.loop = loop;
         this.operations = operations;
         bind = new RetryingBind(
-                loop, () -> bind(address), why -> LOG.warn("no console yet at {}: {}", address, why.getMessage()));
+                loop,
+                () -> bind(address),
+                cause -> LOG.warn("cannot bind the console at {}: {}; retrying", address, cause.getMessage()));
     }
 
-    /** Listens, and tries until it can: a router without its console serves all the same. On the event loop. */
+    /**
+     * Binds the socket, with retries until that succeeds: a router also serves without its console. On the event loop.
+     */
     public void start() {
         bind.start();
     }
@@ -48,7 +55,8 @@
                 .channelFactory(Sockets.listening())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new AcceptControl(why -> LOG.warn("a caller was not accepted: {}", why.getMessage())))
+                .handler(new AcceptControl(
+                        cause -> LOG.warn("cannot accept a console connection: {}", cause.getMessage())))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -65,25 +73,25 @@
         return loop;
     }
 
-    void opened(ConsoleLink link) {
-        if (links.size() >= LINKS_MOST) {
-            links.iterator().next().leave();
+    void linkOpened(ConsoleLink link) {
+        if (links.size() >= MAX_LINKS) {
+            links.iterator().next().giveUpSlot();
         }
         links.add(link);
     }
 
-    void closed(ConsoleLink link) {
+    void linkClosed(ConsoleLink link) {
         links.remove(link);
     }
 
-    /** Does the call in a line and returns the answer with its line end. */
-    String call(String line) {
+    /** Runs the command in a line and returns the answer with its line end. */
+    String handleLine(String line) {
         calls++;
         try {
             ConsoleCommand command = ConsoleProtocol.parse(line);
             Operations.Result result = operations.call(command);
             if (!(command instanceof ConsoleCommand.Status)) {
-                LOG.info("console: {}: {}", command, result.text());
+                LOG.info("console command {}: {}", command, result.text());
             }
             return ConsoleProtocol.answer(result);
         } catch (InvalidCommandException e) {
@@ -91,9 +99,9 @@
         }
     }
 
-    String refusal(String why) {
+    String refusal(String reason) {
         refused++;
-        return ConsoleProtocol.answer(Operations.Result.no(why));
+        return ConsoleProtocol.answer(Operations.Result.no(reason));
     }
 
     public void count(ObjLongConsumer<String> to) {
--- a/router/src/main/java/stagepier/console/ConsoleProtocol.java
+++ b/router/src/main/java/stagepier/console/ConsoleProtocol.java
@@ -2,57 +2,61 @@
 
 import java.util.regex.Pattern;
 
-/** The console's line form: a word and its argument in, a line that begins with {@code OK} or {@code ERR} out. No sockets. */
+/**
+ * The line protocol of the console: a command and its argument in, a line that begins with {@code OK} or {@code ERR}
+ * out. Uses no sockets.
+ */
 public final class ConsoleProtocol {
-    /** Longest line, its end included. */
-    public static final int LONGEST = 512;
+    /** Maximum length of a line in bytes, including its end. */
+    public static final int MAX_LINE_BYTES = 512;
 
-    private static final String CALLS = "calls are STATUS, SUSPEND ID, RESTORE ID, PAUSE, RESUME";
+    private static final String COMMANDS_HELP = "calls are STATUS, SUSPEND ID, RESTORE ID, PAUSE, RESUME";
     private static final Pattern SPACES = Pattern.compile("[ \t]+");
-    private static final Pattern SERVER = Pattern.compile("[!-~]{1,128}");
+    private static final Pattern SERVER_ID = Pattern.compile("[!-~]{1,128}");
 
     private ConsoleProtocol() {}
 
     /**
-     * The call in a line.
+     * Parses a line.
      *
-     * @param line without its end
-     * @throws InvalidCommandException where it is none
+     * @param line the line without its end
+     * @throws InvalidCommandException if it is not a command
      */
     public static ConsoleCommand parse(String line) throws InvalidCommandException {
         String trimmed = line.strip();
         if (trimmed.isEmpty()) {
-            throw new InvalidCommandException("empty line; " + CALLS);
+            throw new InvalidCommandException("empty line; " + COMMANDS_HELP);
         }
-        String[] words = SPACES.split(trimmed);
-        return switch (words[0]) {
-            case "STATUS" -> alone(words, new ConsoleCommand.Status());
-            case "PAUSE" -> alone(words, new ConsoleCommand.Pause());
-            case "RESUME" -> alone(words, new ConsoleCommand.Resume());
-            case "SUSPEND" -> new ConsoleCommand.Suspend(server(words));
-            case "RESTORE" -> new ConsoleCommand.Restore(server(words));
-            default -> throw new InvalidCommandException("unknown call; " + CALLS);
+        String[] tokens = SPACES.split(trimmed);
+        return switch (tokens[0]) {
+            case "STATUS" -> withoutArgument(tokens, new ConsoleCommand.Status());
+            case "PAUSE" -> withoutArgument(tokens, new ConsoleCommand.Pause());
+            case "RESUME" -> withoutArgument(tokens, new ConsoleCommand.Resume());
+            case "SUSPEND" -> new ConsoleCommand.Suspend(serverArgument(tokens));
+            case "RESTORE" -> new ConsoleCommand.Restore(serverArgument(tokens));
+            default -> throw new InvalidCommandException("unknown call; " + COMMANDS_HELP);
         };
     }
 
-    private static ConsoleCommand alone(String[] words, ConsoleCommand command) throws InvalidCommandException {
-        if (words.length > 1) {
-            throw new InvalidCommandException(words[0] + " takes no argument");
+    private static ConsoleCommand withoutArgument(String[] tokens, ConsoleCommand command)
+            throws InvalidCommandException {
+        if (tokens.length > 1) {
+            throw new InvalidCommandException(tokens[0] + " takes no argument");
         }
         return command;
     }
 
-    private static String server(String[] words) throws InvalidCommandException {
-        if (words.length != 2) {
-            throw new InvalidCommandException(words[0] + " takes the id of one cache server");
+    private static String serverArgument(String[] tokens) throws InvalidCommandException {
+        if (tokens.length != 2) {
+            throw new InvalidCommandException(tokens[0] + " takes the id of one cache server");
         }
-        if (!SERVER.matcher(words[1]).matches()) {
+        if (!SERVER_ID.matcher(tokens[1]).matches()) {
             throw new InvalidCommandException("that is no id of a cache server");
         }
-        return words[1];
+        return tokens[1];
     }
 
-    /** The line for an outcome, with its end, and what follows it. */
+    /** Formats a result as a line with its end, followed by any further lines. */
     public static String answer(Operations.Result result) {
         StringBuilder answer = new StringBuilder(result.done() ? "OK " : "ERR ")
                 .append(result.text())
--- a/router/src/main/java/stagepier/console/InvalidCommandException.java
+++ b/router/src/main/java/stagepier/console/InvalidCommandException.java
@@ -1,6 +1,6 @@
 package stagepier.console;
 
-/** A line that is no call; the message says why in plain words. */
+/** Thrown for a line that is not a command; the message is shown to the operator. */
 public final class InvalidCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/stagepier/console/Operations.java
+++ b/router/src/main/java/stagepier/console/Operations.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** Does what the console is asked to, at once; what takes long is begun. On the event loop. */
+/** Executes console commands. Returns at once; an operation that takes long is only started. On the event loop. */
 @FunctionalInterface
 public interface Operations {
     /**
-     * The outcome of a call.
+     * The result of a command.
      *
-     * @param done whether it holds from now on; for a question, whether the answer is yes
-     * @param text in plain words, one line
-     * @param more lines that follow it; mostly none
+     * @param done whether the command took effect; for a query, whether the answer is yes
+     * @param text one line for the operator
+     * @param more lines that follow it; usually none
      */
     record Result(boolean done, String text, List<String> more) {
         public Result(boolean done, String text) {
--- a/router/src/main/java/stagepier/console/package-info.java
+++ b/router/src/main/java/stagepier/console/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' console: a line protocol, its commands, and the connections on which it is spoken. */
+/** The operators' console: a line protocol, its commands, and its connections. */
 package stagepier.console;
--- a/router/src/test/java/stagepier/console/ConsoleProtocolTest.java
+++ b/router/src/test/java/stagepier/console/ConsoleProtocolTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void eachCallIsUnderstoodWhateverSpaceIsAroundIt() throws InvalidCommandException {
+    void commandsAreParsedWithSurroundingSpace() throws InvalidCommandException {
         assertEquals(new ConsoleCommand.Status(), ConsoleProtocol.parse("STATUS\r"));
         assertEquals(new ConsoleCommand.Pause(), ConsoleProtocol.parse("  PAUSE "));
         assertEquals(new ConsoleCommand.Resume(), ConsoleProtocol.parse("RESUME"));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsNoCallIsToldInPlainWords() {
+    void invalidCommandIsAnsweredWithOneErrorLine() {
         for (String line : List.of(
                 "",
                 "\r",
@@ -36,16 +36,17 @@
                 "GET / HTTP/1.1",
                 "SUSPEND \u0001",
                 "RESTORE " + "x".repeat(129))) {
-            String said = refusal(assertThrows(InvalidCommandException.class, () -> ConsoleProtocol.parse(line), line));
-            assertTrue(said.startsWith("ERR ") && said.indexOf("\r\n") == said.length() - 2, said);
+            String answer =
+                    refusal(assertThrows(InvalidCommandException.class, () -> ConsoleProtocol.parse(line), line));
+            assertTrue(answer.startsWith("ERR ") && answer.indexOf("\r\n") == answer.length() - 2, answer);
         }
     }
 
-    /** Whatever comes, it is a call or a bad one, and the answer is one line. */
+    /** Any input is either a command or rejected with an answer of one line. */
     @Property(seed = "31", tries = 500)
-    void garbageIsNeverMoreThanABadCall(@ForAll @StringLength(max = 40) String garbage) {
+    void randomTextIsACommandOrIsRejectedWithOneLine(@ForAll @StringLength(max = 40) String text) {
         try {
-            ConsoleProtocol.parse(garbage);
+            ConsoleProtocol.parse(text);
         } catch (InvalidCommandException e) {
             assertEquals(1, refusal(e).lines().count());
         }
