--- a/router/src/main/java/stagepier/invariants/package-info.java
+++ b/router/src/main/java/stagepier/invariants/package-info.java
@@ -1,2 +1,2 @@
-/** What must hold in every run of a router, checked while it runs. */
+/** Properties that must hold in every run of a router, checked while it runs. */
 package stagepier.invariants;
--- a/router/src/main/java/stagepier/logging/RateLimitedWarning.java
+++ b/router/src/main/java/stagepier/logging/RateLimitedWarning.java
@@ -2,39 +2,39 @@
 
 import org.slf4j.Logger;
 
-/** Warnings of one kind: all are counted, and at most one in a span of time is logged, with the count. */
+/** Warnings of one kind: all are counted, and at most one per interval is logged, with the count. */
 public final class RateLimitedWarning {
     private final Logger log;
-    private final String text;
-    private final double every;
+    private final String message;
+    private final double intervalSeconds;
     private double nextAt = Double.NEGATIVE_INFINITY;
     private long count;
 
     /**
-     * @param text  what all of them say
-     * @param every seconds between two lines at the least
+     * @param message         text of each warning
+     * @param intervalSeconds minimum time between two log lines
      */
-    public RateLimitedWarning(Logger log, String text, double every) {
+    public RateLimitedWarning(Logger log, String message, double intervalSeconds) {
         this.log = log;
-        this.text = text;
-        this.every = every;
+        this.message = message;
+        this.intervalSeconds = intervalSeconds;
     }
 
     /**
-     * Counts one, and logs it unless another was logged lately.
+     * Counts a warning and logs it unless another one was logged within the interval.
      *
      * @param now    in seconds
-     * @param detail what this one says
+     * @param detail what is specific to this warning
      */
     public void warn(double now, String detail) {
         count++;
         if (now >= nextAt) {
-            nextAt = now + every;
-            log.warn("{} ({} so far): {}", text, count, detail);
+            nextAt = now + intervalSeconds;
+            log.warn("{} ({} so far): {}", message, count, detail);
         }
     }
 
-    /** How many there were. */
+    /** Returns the number of warnings so far. */
     public long count() {
         return count;
     }
--- a/router/src/main/java/stagepier/logging/package-info.java
+++ b/router/src/main/java/stagepier/logging/package-info.java
@@ -1,2 +1,2 @@
-/** How the log is kept readable while many things go wrong at once. */
+/** Rate limits for log lines, so that the log stays readable when many operations fail at once. */
 package stagepier.logging;
--- a/router/src/main/java/stagepier/tasks/GuardedTask.java
+++ b/router/src/main/java/stagepier/tasks/GuardedTask.java
@@ -4,8 +4,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A step of work that is repeated for as long as the process runs, and that a fault in one step does not end. An event loop keeps an
- * exception of a scheduled task to itself, and runs one that is scheduled with a fixed delay never again.
+ * A periodic step that continues after an exception. An event loop does not report the exception of a scheduled task,
+ * and never runs a task with a fixed delay again after one.
  */
 public final class GuardedTask implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(GuardedTask.class);
@@ -15,20 +15,20 @@
 
     /**
      * @param name for the log: what is not done if this fails
-     * @param step what is done each time
+     * @param step the action of each run
      */
     public GuardedTask(String name, Runnable step) {
         this.name = name;
         this.step = step;
     }
 
-    /** Does the step; a fault in it is logged. */
+    /** Runs the step and logs any exception. */
     @Override
     public void run() {
         try {
             step.run();
         } catch (RuntimeException e) {
-            LOG.error("failed, and goes on: {}", name, e);
+            LOG.error("task step failed, the task continues: {}", name, e);
         }
     }
 }
--- a/router/src/main/java/stagepier/tasks/LiveMailbox.java
+++ b/router/src/main/java/stagepier/tasks/LiveMailbox.java
@@ -8,59 +8,62 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A box without locks, so that the event loop never waits for a task that is being descheduled. Many may put, one task takes.
+ * A lock-free mailbox, so that the event loop never waits for a task that is descheduled. Many producers, one consumer.
  */
 final class LiveMailbox<T> implements Mailbox<T> {
-    private final int bound;
-    private final Queue<T> things = new ConcurrentLinkedQueue<>();
-    /** Places taken: taken before a thing is put in, given back after it was taken out, so never too few. */
-    private final AtomicInteger held = new AtomicInteger();
+    private final int capacity;
+    private final Queue<T> items = new ConcurrentLinkedQueue<>();
+    /**
+     * Slots in use: taken before an item is added and released after it was removed, so the number is never too low.
+     */
+    private final AtomicInteger usedSlots = new AtomicInteger();
 
     private final AtomicLong dropped = new AtomicLong();
-    private volatile Thread taker;
+    private volatile Thread waitingThread;
 
-    LiveMailbox(int bound) {
-        this.bound = bound;
+    LiveMailbox(int capacity) {
+        this.capacity = capacity;
     }
 
     @Override
-    public boolean put(T thing) {
+    public boolean put(T item) {
         int n;
         do {
-            n = held.get();
-            if (n >= bound) {
+            n = usedSlots.get();
+            if (n >= capacity) {
                 dropped.incrementAndGet();
                 return false;
             }
-        } while (!held.compareAndSet(n, n + 1));
-        things.add(thing);
-        LockSupport.unpark(taker);
+        } while (!usedSlots.compareAndSet(n, n + 1));
+        items.add(item);
+        LockSupport.unpark(waitingThread);
         return true;
     }
 
     @Override
-    public T take(Duration most) throws InterruptedException {
-        long until = System.nanoTime() + most.toNanos();
-        // Named before the queue is looked at: whoever puts after that look finds whom to wake.
-        taker = Thread.currentThread();
+    public T take(Duration timeout) throws InterruptedException {
+        long deadline = System.nanoTime() + timeout.toNanos();
+        // Set before the queue is polled, so that a producer that adds an item after the poll finds the thread to
+        // unpark.
+        waitingThread = Thread.currentThread();
         try {
             for (; ; ) {
                 if (Thread.interrupted()) {
                     throw new InterruptedException();
                 }
-                T thing = things.poll();
-                if (thing != null) {
-                    held.decrementAndGet();
-                    return thing;
+                T item = items.poll();
+                if (item != null) {
+                    usedSlots.decrementAndGet();
+                    return item;
                 }
-                long left = until - System.nanoTime();
+                long left = deadline - System.nanoTime();
                 if (left <= 0) {
                     return null;
                 }
                 LockSupport.parkNanos(this, left);
             }
         } finally {
-            taker = null;
+            waitingThread = null;
         }
     }
 
--- a/router/src/main/java/stagepier/tasks/LiveTasks.java
+++ b/router/src/main/java/stagepier/tasks/LiveTasks.java
@@ -8,12 +8,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tasks as threads of this process. None of them keeps the process from ending. */
+/** Runs tasks as daemon threads of this process. */
 public final class LiveTasks implements Tasks {
     private static final Logger LOG = LoggerFactory.getLogger(LiveTasks.class);
-    private static final long STOP_MOST_NS = TimeUnit.SECONDS.toNanos(2);
-    /** A task's stack need not be deep: it calls, waits and reads JSON of a few levels. */
-    private static final long STACK = 256 * 1024;
+    private static final long STOP_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(2);
+    /** Small, because tasks only call, wait and read JSON of a few levels. */
+    private static final long STACK_BYTES = 256 * 1024;
 
     private final Clock wall;
     private final Set<Thread> running = ConcurrentHashMap.newKeySet();
@@ -40,7 +40,7 @@
 
     @Override
     public void start(String name, Body body) {
-        Thread thread = new Thread(null, () -> run(name, body), name, STACK);
+        Thread thread = new Thread(null, () -> run(name, body), name, STACK_BYTES);
         thread.setDaemon(true);
         running.add(thread);
         if (stopped) {
@@ -55,10 +55,10 @@
             body.run();
         } catch (InterruptedException e) {
             if (!stopped) {
-                LOG.error("task {} was interrupted by no stop", name);
+                LOG.error("task {} was interrupted although the tasks are not being stopped", name);
             }
         } catch (RuntimeException e) {
-            LOG.error("task {} ended by a fault", name, e);
+            LOG.error("task {} ended by an uncaught exception", name, e);
         } finally {
             running.remove(Thread.currentThread());
         }
@@ -72,14 +72,14 @@
     @Override
     public void stop() {
         stopped = true;
-        long until = System.nanoTime() + STOP_MOST_NS;
+        long deadline = System.nanoTime() + STOP_TIMEOUT_NS;
         for (Thread thread : running) {
             thread.interrupt();
         }
         for (Thread thread : running) {
             try {
                 if (thread != Thread.currentThread() && thread.isAlive()) {
-                    TimeUnit.NANOSECONDS.timedJoin(thread, Math.max(1, until - System.nanoTime()));
+                    TimeUnit.NANOSECONDS.timedJoin(thread, Math.max(1, deadline - System.nanoTime()));
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/router/src/main/java/stagepier/tasks/Mailbox.java
+++ b/router/src/main/java/stagepier/tasks/Mailbox.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 
 /**
- * Hands things over to a task, in order.
+ * A bounded FIFO queue to one task.
  *
- * @param <T> what is handed over; immutable, for two threads hold it
+ * @param <T> type of the items; immutable, because two threads share them
  */
 public interface Mailbox<T> {
     /**
-     * Never waits, so that the event loop may call it.
+     * Adds an item. Never waits, so that the event loop may call it.
      *
-     * @return false where it was full: the thing was dropped and counted
+     * @return false if the mailbox was full: the item was dropped and counted
      */
-    boolean put(T thing);
+    boolean put(T item);
 
     /**
-     * Waits for a thing.
+     * Waits for an item.
      *
-     * @return null where none came in time
-     * @throws InterruptedException the tasks are being stopped
+     * @return null if none arrived in time
+     * @throws InterruptedException if the tasks are being stopped
      */
-    T take(Duration most) throws InterruptedException;
+    T take(Duration timeout) throws InterruptedException;
 
-    /** Things dropped since it was made. */
+    /** Returns the number of items dropped since the mailbox was created. */
     long dropped();
 }
--- a/router/src/main/java/stagepier/tasks/package-info.java
+++ b/router/src/main/java/stagepier/tasks/package-info.java
@@ -1,2 +1,2 @@
-/** Time and tasks for what runs beside the event loop: threads in service, one task at a time in tests. */
+/** Time and tasks for work outside the event loop: threads in production, one task at a time in tests. */
 package stagepier.tasks;
--- a/router/src/test/java/stagepier/invariants/InvariantMonitorTest.java
+++ b/router/src/test/java/stagepier/invariants/InvariantMonitorTest.java
@@ -12,15 +12,15 @@
     private final InvariantMonitor monitor = new InvariantMonitor();
 
     @Test
-    void whatHoldsIsNotCountedAndItsDetailIsNotAskedFor() {
+    void validInvariantIsNotCountedAndItsDetailIsNotEvaluated() {
         assertTrue(monitor.check(Invariant.ANSWERED_ONCE, true, () -> {
-            throw new AssertionError("asked");
+            throw new AssertionError("detail evaluated");
         }));
         assertEquals(0, monitor.violations(Invariant.ANSWERED_ONCE));
     }
 
     @Test
-    void eachViolationIsCountedUnderItsName() {
+    void violationsAreCountedUnderTheNameOfTheInvariant() {
         for (int n = 0; n < 30; n++) {
             assertFalse(monitor.check(Invariant.ANSWERED_ONCE, false, () -> "twice"));
         }
--- a/router/src/test/java/stagepier/tasks/LiveTasksTest.java
+++ b/router/src/test/java/stagepier/tasks/LiveTasksTest.java
@@ -14,21 +14,21 @@
 
 @Timeout(30)
 class LiveTasksTest {
-    private static final int EACH = 50_000;
-    private static final int PUTTERS = 4;
+    private static final int ITEMS_PER_PRODUCER = 50_000;
+    private static final int PRODUCERS = 4;
 
-    /** Under contention nothing is lost that was taken in, nothing comes twice, and each putter's things keep their order. */
+    /** Under contention no accepted item is lost or taken twice, and the items of each producer keep their order. */
     @Test
-    void whatWasTakenInComesOutOnceAndInOrder() throws InterruptedException {
+    void acceptedItemsAreTakenOnceAndInOrder() throws InterruptedException {
         LiveTasks tasks = new LiveTasks(Clock.systemUTC());
-        Mailbox<int[]> box = tasks.mailbox(64);
+        Mailbox<int[]> mailbox = tasks.mailbox(64);
         AtomicInteger put = new AtomicInteger();
-        CountDownLatch done = new CountDownLatch(PUTTERS);
-        for (int p = 0; p < PUTTERS; p++) {
-            int putter = p;
+        CountDownLatch done = new CountDownLatch(PRODUCERS);
+        for (int p = 0; p < PRODUCERS; p++) {
+            int producer = p;
             tasks.start("put-" + p, () -> {
-                for (int i = 0; i < EACH; i++) {
-                    put.addAndGet(box.put(new int[] {putter, i}) ? 1 : 0);
+                for (int i = 0; i < ITEMS_PER_PRODUCER; i++) {
+                    put.addAndGet(mailbox.put(new int[] {producer, i}) ? 1 : 0);
                 }
                 done.countDown();
             });
@@ -36,43 +36,43 @@
         int taken = 0;
         int[] last = {-1, -1, -1, -1};
         for (; ; ) {
-            boolean last1 = done.getCount() == 0;
-            int[] thing = box.take(Duration.ofMillis(last1 ? 0 : 20));
-            if (thing == null && last1) {
+            boolean finished = done.getCount() == 0;
+            int[] item = mailbox.take(Duration.ofMillis(finished ? 0 : 20));
+            if (item == null && finished) {
                 break;
             }
-            if (thing != null) {
-                assertTrue(thing[1] > last[thing[0]], "out of order or twice");
-                last[thing[0]] = thing[1];
+            if (item != null) {
+                assertTrue(item[1] > last[item[0]], "out of order or twice");
+                last[item[0]] = item[1];
                 taken++;
             }
         }
         assertEquals(put.get(), taken);
-        assertEquals(PUTTERS * EACH, taken + box.dropped());
+        assertEquals(PRODUCERS * ITEMS_PER_PRODUCER, taken + mailbox.dropped());
         tasks.stop();
     }
 
     @Test
-    void aFullBoxDropsAndCountsAndNeverWaits() throws InterruptedException {
-        Mailbox<String> box = new LiveTasks(Clock.systemUTC()).mailbox(2);
-        assertTrue(box.put("a") && box.put("b"));
-        assertTrue(!box.put("c"));
-        assertEquals(1, box.dropped());
-        assertEquals("a", box.take(Duration.ZERO));
-        assertTrue(box.put("d"));
-        assertEquals("b", box.take(Duration.ZERO));
-        assertEquals("d", box.take(Duration.ZERO));
-        assertNull(box.take(Duration.ofMillis(1)));
+    void fullMailboxDropsAndCountsWithoutWaiting() throws InterruptedException {
+        Mailbox<String> mailbox = new LiveTasks(Clock.systemUTC()).mailbox(2);
+        assertTrue(mailbox.put("a") && mailbox.put("b"));
+        assertTrue(!mailbox.put("c"));
+        assertEquals(1, mailbox.dropped());
+        assertEquals("a", mailbox.take(Duration.ZERO));
+        assertTrue(mailbox.put("d"));
+        assertEquals("b", mailbox.take(Duration.ZERO));
+        assertEquals("d", mailbox.take(Duration.ZERO));
+        assertNull(mailbox.take(Duration.ofMillis(1)));
     }
 
     @Test
-    void aStopEndsEveryWait() throws InterruptedException {
+    void stopEndsEveryWait() throws InterruptedException {
         LiveTasks tasks = new LiveTasks(Clock.systemUTC());
         CountDownLatch waiting = new CountDownLatch(2);
         CountDownLatch ended = new CountDownLatch(2);
-        Mailbox<String> box = tasks.mailbox(1);
+        Mailbox<String> mailbox = tasks.mailbox(1);
         Tasks.Body sleeps = () -> tasks.sleep(Duration.ofHours(1));
-        Tasks.Body takes = () -> box.take(Duration.ofHours(1));
+        Tasks.Body takes = () -> mailbox.take(Duration.ofHours(1));
         for (Tasks.Body body : new Tasks.Body[] {sleeps, takes}) {
             tasks.start("waits", () -> {
                 waiting.countDown();
