--- a/router/src/main/java/stagepier/overload/BacklogWait.java
+++ b/router/src/main/java/stagepier/overload/BacklogWait.java
@@ -1,8 +1,9 @@
 package stagepier.overload;
 
 /**
- * For how long at most a connection that is accepted now has waited to be: since the listener last found nobody
- * waiting. What was sent on it is as old as that. Free of I/O and clock; all times in seconds.
+ * Estimates the maximum time that a connection accepted now has waited in the backlog: the time since the listener last
+ * found the backlog empty. Data sent on the connection may be that old. Performs no I/O and reads no clock; all times
+ * are in seconds.
  */
 public final class BacklogWait {
     private int batch;
@@ -10,22 +11,22 @@
     private double emptyBefore = Double.NaN;
     private int accepted;
 
-    /** @param batch connections that the listener accepts in a row at the most */
+    /** @param batch maximum number of connections that the listener accepts in a row */
     public BacklogWait(int batch) {
         this.batch = batch;
     }
 
-    /** Connections that are accepted in a row at the most from now on. */
-    public void setBatchLimit(int most) {
-        batch = most;
+    /** Sets the maximum number of connections that are accepted in a row. */
+    public void setBatchLimit(int limit) {
+        batch = limit;
     }
 
-    /** One was accepted. */
+    /** Counts an accepted connection. */
     public void onAccepted() {
         accepted++;
     }
 
-    /** The listener ends a row: fewer than a whole one means that nobody is left waiting. */
+    /** Notes the end of a batch. A batch below the limit means that the backlog is empty. */
     public void onBatchEnd(double now) {
         emptyBefore = emptyAt;
         if (accepted < batch) {
@@ -34,17 +35,19 @@
         accepted = 0;
     }
 
-    /** The row that has just ended did so because accept failed: connections may be waiting as before. */
+    /**
+     * Notes that the batch which has just ended did so because accept failed, so that connections may still be waiting.
+     */
     public void onAcceptFailed() {
         emptyAt = emptyBefore;
     }
 
-    /** The listener had been accepting all along and nobody came: nobody waits. */
+    /** Notes that the listener was accepting all along and no connection arrived, so that the backlog is empty. */
     public void onIdle(double now) {
         emptyAt = now;
     }
 
-    /** The earliest time at which one that is accepted now can have come. */
+    /** The earliest time at which a connection that is accepted now can have been opened by its client. */
     public double earliestArrival(double now) {
         return Double.isNaN(emptyAt) ? now : emptyAt;
     }
--- a/router/src/main/java/stagepier/overload/ConnectionSlots.java
+++ b/router/src/main/java/stagepier/overload/ConnectionSlots.java
@@ -1,34 +1,35 @@
 package stagepier.overload;
 
 /**
- * Who may hold a slot among client links, and for how long without using it. Slots are descriptors and memory, and
- * both are few: those who ask come before those who only hold. Decides by what a link was seen to do, never by who it
- * is. Free of I/O and clock; all times in seconds.
+ * Decides which client links may hold a slot, and for how long without using it. Slots stand for descriptors and
+ * memory, which are both limited; links with requests take priority over links that only hold a slot. The decision
+ * depends on the observed behaviour of a link, never on the identity of the client. Performs no I/O and reads no clock;
+ * all times are in seconds.
  */
 public final class ConnectionSlots {
-    /** What a link does. */
+    /** The behaviour of a link. */
     public enum Behaviour {
         /** An answer is owed to it: never closed. */
         OWED,
         /** It leaves its answers unread. */
         UNREAD,
-        /** It reads a large value, which takes its time. */
+        /** It is reading a large value, which takes time. */
         READING,
-        /** It has never said anything. */
+        /** It has never sent a byte. */
         SILENT,
-        /** It has begun a command and not finished it, and nothing more comes. */
+        /** It has sent part of a command, and no more bytes arrive. */
         PART,
-        /** It is in the middle of a command, of which bytes still come. */
+        /** It has sent part of a command, and more bytes are still arriving. */
         SLOW,
-        /** It has asked nothing that needs a cache server, and is idle: a probe, or words that are no request. */
+        /** It is idle and has sent nothing that needs a cache server: a health check, or input that is no request. */
         PROBE,
-        /** It has asked once and is idle. */
+        /** It is idle after one request. */
         ONCE,
-        /** It has asked more than once and is idle. */
+        /** It is idle after more than one request. */
         REGULAR
     }
 
-    /** How short slots are. */
+    /** How scarce slots are. */
     public enum Availability {
         PLENTY,
         SCARCE,
@@ -36,27 +37,36 @@
         FULL
     }
 
-    /** Part of the slots, or of the memory, from which on they are scarce and tight. */
+    /** Fraction of the slots, or of the memory, from which on the level is SCARCE or TIGHT. */
     private static final double SCARCE_FROM = 0.5;
 
     private static final double TIGHT_FROM = 0.85;
-    /** For so long after it was full it stays scarce: who came then has waited in the backlog. */
-    private static final double FULL_REMEMBERED = 2;
+    /**
+     * In seconds. After FULL the level remains SCARCE for this long, because clients that connected meanwhile have
+     * waited in the backlog.
+     */
+    private static final double SCARCE_AFTER_FULL = 2;
 
-    private static final double UNREAD_MOST = 4;
-    /** Between two pieces of a large value that it reads: a socket tells of room only once much has been read. */
-    private static final double READING_MOST = 15;
-    /** An idle link may be closed from here on, and no sooner. */
-    private static final double IDLE_LEAST = 2;
-    /** How long each may hold its slot, by level. */
+    private static final double UNREAD_MAX = 4;
+    /**
+     * In seconds. Limit between two pieces of a large value that the client reads: a socket reports that it is writable
+     * only after much of its buffer has been read.
+     */
+    private static final double READING_MAX = 15;
+    /** In seconds. An idle link must not be closed sooner. */
+    private static final double IDLE_MIN = 2;
+    /** Seconds for which a link may hold its slot without using it, by level. */
     private static final double[] SILENT = {2, 1, 0.2, 0.1};
 
     private static final double[] PART = {2.2, 1, 0.4, 0.1};
-    /** A client may take 2 s for a command; who takes longer is held to be a bad one, and has to be told within 3 s. */
+    /**
+     * A client may take 2 s for a command. One that takes longer counts as misbehaving and must get an error within 3
+     * s.
+     */
     private static final double[] SLOW = {2.6, 2.5, 2.3, 2.2};
 
-    private static final double[] PROBE = {30, IDLE_LEAST, IDLE_LEAST, 0.1};
-    private static final double[] ONCE = {30, IDLE_LEAST, IDLE_LEAST, IDLE_LEAST};
+    private static final double[] PROBE = {30, IDLE_MIN, IDLE_MIN, 0.1};
+    private static final double[] ONCE = {30, IDLE_MIN, IDLE_MIN, IDLE_MIN};
     private static final double[] REGULAR = {30, 30, 15, 8};
 
     private final int slots;
@@ -64,8 +74,8 @@
     private double fullAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param slots links that there may be
-     * @param bytes  memory that the buffers of all links should stay under
+     * @param slots maximum number of links
+     * @param bytes limit for the buffer memory of all links
      */
     public ConnectionSlots(int slots, long bytes) {
         this.slots = slots;
@@ -77,7 +87,9 @@
         return links < slots;
     }
 
-    /** Whether a link may take more memory than the least. Guards the heap against messages that never end. */
+    /**
+     * Whether a link may use more than the minimum of memory. Prevents messages that never end from filling the heap.
+     */
     public boolean hasMemory(long held) {
         return held < bytes;
     }
@@ -91,15 +103,15 @@
         if (used >= TIGHT_FROM) {
             return Availability.TIGHT;
         }
-        return used >= SCARCE_FROM || now - fullAt < FULL_REMEMBERED ? Availability.SCARCE : Availability.PLENTY;
+        return used >= SCARCE_FROM || now - fullAt < SCARCE_AFTER_FULL ? Availability.SCARCE : Availability.PLENTY;
     }
 
-    /** For how long a link may go on like that. */
+    /** Seconds for which a link may continue with that behaviour. */
     public static double holdLimit(Behaviour behaviour, Availability level) {
         return switch (behaviour) {
             case OWED -> Double.POSITIVE_INFINITY;
-            case UNREAD -> UNREAD_MOST;
-            case READING -> READING_MOST;
+            case UNREAD -> UNREAD_MAX;
+            case READING -> READING_MAX;
             case SILENT -> SILENT[level.ordinal()];
             case PART -> PART[level.ordinal()];
             case SLOW -> SLOW[level.ordinal()];
@@ -109,7 +121,7 @@
         };
     }
 
-    /** Seconds after which slots are to be looked through again. */
+    /** Seconds between two checks of the slots. */
     public static double checkInterval(Availability level) {
         return switch (level) {
             case PLENTY, SCARCE -> 0.2;
--- a/router/src/main/java/stagepier/overload/MemoryBudget.java
+++ b/router/src/main/java/stagepier/overload/MemoryBudget.java
@@ -3,43 +3,44 @@
 import java.util.ArrayDeque;
 
 /**
- * Memory that several owners share, in bytes. Who finds no room waits in line and is called once there may be some;
- * one alone always gets what it asks for, so that nobody waits for ever. Free of I/O and clock.
+ * A memory budget in bytes that is shared by several owners. An owner that finds no room waits in a queue and is called
+ * back when there may be room. A request is always granted while nothing is taken, so that a large one does not wait
+ * forever. Performs no I/O and reads no clock.
  */
 public final class MemoryBudget {
-    private final long most;
+    private final long limit;
     private long taken;
-    private final ArrayDeque<Runnable> line = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private long waits;
 
-    /** @param most bytes that all owners may hold together */
-    public MemoryBudget(long most) {
-        this.most = most;
+    /** @param limit bytes that all owners may hold together */
+    public MemoryBudget(long limit) {
+        this.limit = limit;
     }
 
-    /** Whether so many bytes are the caller's from now on. */
+    /** Takes that number of bytes if there is room; returns whether it did. */
     public boolean take(int bytes) {
-        if (taken > 0 && taken + bytes > most) {
+        if (taken > 0 && taken + bytes > limit) {
             return false;
         }
         taken += bytes;
         return true;
     }
 
-    /** Calls back once, when bytes were given back. */
-    public void await(Runnable call) {
+    /** Registers a callback that is called once after bytes were released. */
+    public void await(Runnable callback) {
         waits++;
-        line.add(call);
+        waiting.add(callback);
     }
 
-    /** Bytes that are no longer the caller's; those who wait are called in the order in which they came. */
+    /** Returns bytes to the budget; waiting owners are called in the order in which they came. */
     public void release(int bytes) {
         if (bytes == 0) {
             return;
         }
         taken -= bytes;
-        for (int n = line.size(); n > 0 && taken < most; n--) {
-            line.remove().run();
+        for (int n = waiting.size(); n > 0 && taken < limit; n--) {
+            waiting.remove().run();
         }
     }
 
@@ -47,7 +48,7 @@
         return taken;
     }
 
-    /** How often somebody had to wait. */
+    /** Number of times that an owner had to wait. */
     public long waits() {
         return waits;
     }
--- a/router/src/main/java/stagepier/overload/Pressure.java
+++ b/router/src/main/java/stagepier/overload/Pressure.java
@@ -1,46 +1,49 @@
 package stagepier.overload;
 
 /**
- * How hard pressed the router is, by how late its own loop is. Rises at once and falls only after a while, so that it
- * does not flutter at a bound. Free of I/O and clock; all times in seconds.
+ * The load state of the router, derived from the delay of its event loop. Rises immediately and falls only after a
+ * period of calm, so that it does not oscillate around a threshold. Performs no I/O and reads no clock; all times are
+ * in seconds.
  */
 public final class Pressure {
-    /** States, the calm one first. */
+    /** The states, in the order of increasing load. */
     public enum State {
         NORMAL,
         PRESSED,
         OVERLOADED
     }
 
-    /** Connections that are accepted in a row while nothing presses. */
+    /** Number of connections that are accepted in a row in the normal state. */
     public static final int DEFAULT_ACCEPT_BATCH = 16;
-    /** Mean lateness of the loop from which on it is in that state. */
-    private static final double[] FROM = {0, 0.01, 0.05};
-    /** Part of that lateness under which it has to be, and for how long, to leave the state again. */
-    private static final double LEAVES_UNDER = 0.5;
+    /** Mean delay of the loop, in seconds, from which on the state is entered. */
+    private static final double[] THRESHOLDS = {0, 0.01, 0.05};
+    /**
+     * A state is left after the delay has been below this fraction of its threshold for {@link #EXIT_AFTER} seconds.
+     */
+    private static final double EXIT_FRACTION = 0.5;
 
-    private static final double LEAVES_AFTER = 1;
-    /** Connections that are accepted in a row in each state: those who are here come first. */
-    private static final int[] ACCEPTED = {DEFAULT_ACCEPT_BATCH, 8, 2};
+    private static final double EXIT_AFTER = 1;
+    /** Number of connections accepted in a row, by state: under load, connected clients have priority. */
+    private static final int[] ACCEPT_BATCH = {DEFAULT_ACCEPT_BATCH, 8, 2};
 
     private State state = State.NORMAL;
     private double calmSince = Double.NaN;
 
-    /** The loop's mean lateness now; returns whether the state has changed. */
+    /** Updates the state from the mean delay of the loop; returns whether the state has changed. */
     public boolean update(double now, double lateness) {
-        State was = state;
-        if (state != State.OVERLOADED && lateness >= FROM[state.ordinal() + 1]) {
+        State previous = state;
+        if (state != State.OVERLOADED && lateness >= THRESHOLDS[state.ordinal() + 1]) {
             state = State.values()[state.ordinal() + 1];
             calmSince = Double.NaN;
-        } else if (lateness >= LEAVES_UNDER * FROM[state.ordinal()]) {
+        } else if (lateness >= EXIT_FRACTION * THRESHOLDS[state.ordinal()]) {
             calmSince = Double.NaN;
         } else if (Double.isNaN(calmSince)) {
             calmSince = now;
-        } else if (now - calmSince >= LEAVES_AFTER) {
+        } else if (now - calmSince >= EXIT_AFTER) {
             state = State.values()[state.ordinal() - 1];
             calmSince = Double.NaN;
         }
-        return state != was;
+        return state != previous;
     }
 
     public State state() {
@@ -48,6 +51,6 @@
     }
 
     public int acceptBatch() {
-        return ACCEPTED[state.ordinal()];
+        return ACCEPT_BATCH[state.ordinal()];
     }
 }
--- a/router/src/main/java/stagepier/overload/SilenceDetector.java
+++ b/router/src/main/java/stagepier/overload/SilenceDetector.java
@@ -1,70 +1,80 @@
 package stagepier.overload;
 
 /**
- * Tells a connection that has fallen silent from a server that has: on the first nothing comes while other connections
- * to the same server answer what was sent later. Knows how long the first in order usually waits for its answer. One
- * for each server. Free of I/O and clock; all times in seconds.
+ * Distinguishes a broken connection from a server that does not answer: on a broken connection nothing arrives while
+ * other connections to the same server answer later requests. Keeps statistics of the time for which the first pending
+ * request of a connection usually waits for its answer. One instance per server. Performs no I/O and reads no clock;
+ * all times are in seconds.
  */
 public final class SilenceDetector {
     /** Weight of one answer in the running means. */
     private static final double GAIN = 1.0 / 32;
-    /** Part of the longest wait that is forgotten with each answer. */
-    private static final double FORGETS = 1.0 / 128;
-    /** Answers from which on the means are trusted. */
-    private static final int TRUSTED_FROM = 8;
-    /** Deviations above the mean from which on nothing more is put behind a wait. */
-    private static final double QUIET_DEVIATIONS = 3;
-    /** Times the longest wait of late from which on it is given up: some wait for the origin, and are not silent. */
-    private static final double DEAD_TIMES = 1.5;
-    /** The same in parts of the shortest deadline: not sooner than the least, not later than the most. */
-    private static final double QUIET_LEAST = 0.06;
+    /** Fraction by which the longest wait decays with each answer. */
+    private static final double DECAY = 1.0 / 128;
+    /** Number of answers from which on the means are used. */
+    private static final int MIN_ANSWERS = 8;
+    /**
+     * Deviations above the mean from which on a wait is unusually long, so that no further request is queued behind it.
+     */
+    private static final double UNUSUAL_DEVIATIONS = 3;
+    /**
+     * Multiple of the longest recent wait from which on a connection is silent. Some requests wait for the origin
+     * without the connection being silent.
+     */
+    private static final double SILENT_MULTIPLE = 1.5;
+    /** Lower and upper limits of these thresholds, as fractions of the shortest deadline. */
+    private static final double UNUSUAL_MIN = 0.06;
 
-    private static final double DEAD_LEAST = 0.2;
-    private static final double MOST = 0.66;
-    /** Answers to what was sent later, on other connections, that it takes: one may be luck. */
-    private static final int PASSED_BY = 3;
+    private static final double SILENT_MIN = 0.2;
+    private static final double WAIT_MAX = 0.66;
+    /** Number of answers to later requests on other connections that is required; a single one may be chance. */
+    private static final int MIN_OVERTAKES = 3;
 
     private final double shortestDeadline;
     private double mean;
     private double deviation;
     private double longest;
-    private int seen;
+    private int answers;
 
     public SilenceDetector(double shortestDeadline) {
         this.shortestDeadline = shortestDeadline;
     }
 
-    /** An answer came to what was first in its order for so long. */
-    public void answered(double wait) {
-        double gain = Math.max(GAIN, 1.0 / ++seen);
+    /** Adds the waiting time of an answered request, from the time since when it was the first pending one. */
+    public void recordWait(double wait) {
+        double gain = Math.max(GAIN, 1.0 / ++answers);
         deviation += gain * (Math.abs(wait - mean) - deviation);
         mean += gain * (wait - mean);
-        longest = Math.max(wait, longest * (1 - FORGETS));
+        longest = Math.max(wait, longest * (1 - DECAY));
     }
 
-    /** A wait that is too long whatever is usual and whatever other connections do. */
+    /** Whether a wait is too long whatever is usual and whatever happens on other connections. */
     public boolean isSilent(double wait) {
-        return wait > MOST * shortestDeadline;
+        return wait > WAIT_MAX * shortestDeadline;
     }
 
-    /** A wait that usual answers don't need: work that can go elsewhere is not put behind it. */
-    public boolean isQuiet(double wait) {
-        return wait > after(QUIET_LEAST, mean + QUIET_DEVIATIONS * deviation);
+    /**
+     * Whether a wait is longer than usual answers need, so that requests with an alternative are not queued behind it.
+     */
+    public boolean isUnusuallyLong(double wait) {
+        return wait > threshold(UNUSUAL_MIN, mean + UNUSUAL_DEVIATIONS * deviation);
     }
 
     /**
-     * Seconds until a connection is to be given up unless something is heard of it, so that what was sent on it can be
-     * tried elsewhere in time; 0 or less where that is now, infinite where nothing speaks for it.
+     * Seconds until a connection without input counts as silent, early enough that its requests can be retried
+     * elsewhere in time; 0 or less if it already does, infinite if there is no evidence.
      *
-     * @param wait     since it was last heard of with an answer due, less the router's own delay
-     * @param passedBy answers that came on other connections to what was sent since then
+     * @param wait time since the last input while an answer was due, less the router's own delay
+     * @param overtakes number of answers on other connections to requests sent since then
      */
-    public double deadIn(double wait, int passedBy) {
-        return passedBy < PASSED_BY ? Double.POSITIVE_INFINITY : after(DEAD_LEAST, DEAD_TIMES * longest) - wait;
+    public double silentIn(double wait, int overtakes) {
+        return overtakes < MIN_OVERTAKES
+                ? Double.POSITIVE_INFINITY
+                : threshold(SILENT_MIN, SILENT_MULTIPLE * longest) - wait;
     }
 
-    private double after(double least, double unusual) {
-        double most = MOST * shortestDeadline;
-        return seen < TRUSTED_FROM ? most : Math.max(least * shortestDeadline, Math.min(most, unusual));
+    private double threshold(double min, double estimate) {
+        double max = WAIT_MAX * shortestDeadline;
+        return answers < MIN_ANSWERS ? max : Math.max(min * shortestDeadline, Math.min(max, estimate));
     }
 }
--- a/router/src/main/java/stagepier/overload/TokenBucket.java
+++ b/router/src/main/java/stagepier/overload/TokenBucket.java
@@ -1,25 +1,25 @@
 package stagepier.overload;
 
-/** So many a second on the average, and so many at once: a token bucket. Free of a clock of its own. */
+/** A token bucket: limits the average rate of an action and its bursts. Reads no clock. */
 public final class TokenBucket {
     private final double perSecond;
-    private final double most;
+    private final double capacity;
     private double tokens;
-    private double at = Double.NaN;
+    private double refilledAt = Double.NaN;
 
-    /** @param most what may be saved up; there from the start */
-    public TokenBucket(double perSecond, double most) {
+    /** @param capacity maximum number of tokens, which is also the initial number */
+    public TokenBucket(double perSecond, double capacity) {
         this.perSecond = perSecond;
-        this.most = most;
-        tokens = most;
+        this.capacity = capacity;
+        tokens = capacity;
     }
 
-    /** Whether one more may be done now; if so it is counted. {@code now} in seconds, never going back. */
+    /** Takes a token if there is one; returns whether it did. {@code now} is in seconds and must not decrease. */
     public boolean spend(double now) {
-        if (!Double.isNaN(at)) {
-            tokens = Math.min(most, tokens + perSecond * Math.max(0, now - at));
+        if (!Double.isNaN(refilledAt)) {
+            tokens = Math.min(capacity, tokens + perSecond * Math.max(0, now - refilledAt));
         }
-        at = now;
+        refilledAt = now;
         if (tokens < 1) {
             return false;
         }
--- a/router/src/main/java/stagepier/overload/package-info.java
+++ b/router/src/main/java/stagepier/overload/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Limits that protect the router itself: connection places, delay of the event loop, shared memory and silent
- * connections. Free of I/O and clock.
+ * Limits that protect the router itself: connection slots, delay of the event loop, shared memory and silent
+ * connections. Performs no I/O and reads no clock.
  */
 package stagepier.overload;
--- a/router/src/main/java/stagepier/server/Connector.java
+++ b/router/src/main/java/stagepier/server/Connector.java
@@ -4,12 +4,12 @@
 import io.netty.channel.ChannelHandler;
 import java.net.InetSocketAddress;
 
-/** Brings up connections to cache servers. */
+/** Opens connections to cache servers. */
 @FunctionalInterface
 public interface Connector {
     /**
-     * @param setUp to be added to the new channel's pipeline before it is up
-     * @throws io.netty.channel.ChannelException where the system has no socket now
+     * @param initializer added to the pipeline of the new channel before the channel is active
+     * @throws io.netty.channel.ChannelException if the system cannot provide a socket at the moment
      */
-    ChannelFuture connect(ChannelHandler setUp, InetSocketAddress address);
+    ChannelFuture connect(ChannelHandler initializer, InetSocketAddress address);
 }
--- a/router/src/main/java/stagepier/server/Execution.java
+++ b/router/src/main/java/stagepier/server/Execution.java
@@ -10,12 +10,12 @@
 import stagepier.memcache.Answer;
 
 /**
- * One attempt of an exchange at one cache server, or a probe. Owns its timer; ends exactly once, here. What a
- * link still expects for it after that is discarded there.
+ * One attempt of an exchange at one cache server, or a probe. Owns its timer and ends exactly once. An answer that the
+ * link still receives for it after that is discarded by the link.
  */
 final class Execution implements ServerTransport.Transmission {
-    /** Seconds by which a timer is late only if the router itself is. */
-    private static final double LATE = 0.01;
+    /** In seconds. A timer that fires later than this was delayed by the router itself. */
+    private static final double LATE_TIMER_S = 0.01;
 
     private final ServerPools pools;
     private final Exchange exchange;
@@ -26,19 +26,19 @@
     private final double latestStart;
     private ServerLink link;
     private Future<?> timer;
-    private boolean over;
+    private boolean ended;
     private boolean timedOut;
-    private boolean wokeLate;
-    /** The link's count of written bytes at which the last one of this execution is written; 0 before that. */
-    private long endsAt;
-    /** When it was handed to the socket. */
+    private boolean timerWasLate;
+    /** Value of the link's counter of written bytes after the last byte of this execution; 0 until it is queued. */
+    private long endOffset;
+    /** Time at which it was handed to the socket; 0 before that. */
     private double sentAt;
 
     private boolean alone;
 
     /**
-     * @param exchange    null for a probe
-     * @param latestStart not a byte of it may be sent after that
+     * @param exchange null for a probe
+     * @param latestStart time after which no byte of it may be sent
      */
     Execution(ServerPools pools, Exchange exchange, int attempt, long server, double timeout, double latestStart) {
         this.pools = pools;
@@ -51,38 +51,42 @@
     }
 
     void startTimer() {
-        timer = pools.loop().schedule(this::timeIsUp, (long) (timeout * 1e6), TimeUnit.MICROSECONDS);
+        timer = pools.loop().schedule(this::onTimer, (long) (timeout * 1e6), TimeUnit.MICROSECONDS);
     }
 
-    /** Guards against blaming the server where this router woke too late to read its answer: it gets one more look. */
-    private void timeIsUp() {
-        if (!wokeLate && pools.now() - startedAt - timeout > LATE) {
-            wokeLate = true;
-            timer = pools.loop().schedule(this::timeIsUp, 1, TimeUnit.MILLISECONDS);
+    /**
+     * Ends the execution at its deadline. If the timer fires late, the answer may already be in the socket, unread
+     * because the router was delayed. The timer is then restarted once for 1 ms, so that the server is not blamed for
+     * that delay.
+     */
+    private void onTimer() {
+        if (!timerWasLate && pools.now() - startedAt - timeout > LATE_TIMER_S) {
+            timerWasLate = true;
+            timer = pools.loop().schedule(this::onTimer, 1, TimeUnit.MILLISECONDS);
             return;
         }
         timedOut = true;
-        giveUp(whenTimeIsUp());
+        giveUp(timeoutOutcome());
     }
 
-    private Api.Outcome whenTimeIsUp() {
-        if (link != null && link.isHeldUp()) {
-            // Behind a value that its client does not read, the server's answer cannot come: it is not to blame.
+    private Api.Outcome timeoutOutcome() {
+        if (link != null && link.isBackPressured()) {
+            // The client does not read a value ahead of this answer on the link, so the server is not at fault.
             return Api.Outcome.CANCELLED;
         }
-        return link != null && link.isHeldUpHere() ? Api.Outcome.NOT_SENT : Api.Outcome.TIMEOUT;
+        return link != null && link.hasLocalFailure() ? Api.Outcome.NOT_SENT : Api.Outcome.TIMEOUT;
     }
 
-    void link(ServerLink on) {
-        link = on;
+    void link(ServerLink to) {
+        link = to;
     }
 
-    void endsAt(long bytes) {
-        endsAt = bytes;
+    void endOffset(long bytes) {
+        endOffset = bytes;
     }
 
-    long endsAt() {
-        return endsAt;
+    long endOffset() {
+        return endOffset;
     }
 
     void sentAt(double now) {
@@ -93,8 +97,8 @@
         return sentAt;
     }
 
-    /** Nothing else is awaited on the link that it is handed to. */
-    void alone() {
+    /** Records that no other answer was pending on the link when this execution was sent. */
+    void markAlone() {
         alone = true;
     }
 
@@ -108,21 +112,21 @@
         return sentAt > 0;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
     boolean timedOut() {
         return timedOut;
     }
 
-    /** When the time that its request had is up. */
-    double timeIsUpAt() {
+    /** Time at which the timeout of its request expires. */
+    double deadline() {
         return startedAt + timeout;
     }
 
-    /** It has waited until it may not be sent any more. */
-    boolean isBelated() {
+    /** Whether the time by which it had to be sent has passed. */
+    boolean isPastLatestStart() {
         return pools.now() > latestStart;
     }
 
@@ -134,20 +138,20 @@
         return exchange == null;
     }
 
-    /** For the log. */
+    /** For log messages. */
     @Override
     public String toString() {
-        String what = isProbe() ? "a probe" : "id=" + exchange.command().id() + " attempt=" + attempt;
+        String what = isProbe() ? "probe" : "id=" + exchange.command().id() + " attempt=" + attempt;
         return what + " server=" + server;
     }
 
-    /** The bytes for the server, with the time that is left. */
+    /** The request for the server, with the time that remains until the deadline. */
     byte[] message() {
         long left = Math.max(1, Math.round((startedAt + timeout - pools.now()) * 1e3));
         return isProbe() ? ServerPools.PROBE : exchange.command().forward(left);
     }
 
-    /** Whether this answer can be one to this execution. */
+    /** Whether this answer is a possible answer to this execution. */
     boolean accepts(Answer answer) {
         return switch (answer.kind()) {
             case BUSY, FAILED -> true;
@@ -163,7 +167,7 @@
         };
     }
 
-    void answered(Answer answer) {
+    void onAnswer(Answer answer) {
         switch (answer.kind()) {
             case BUSY -> end(Api.Outcome.FULL, ResponseInfo.of(answer), null);
             case FAILED -> end(Api.Outcome.ERROR, ResponseInfo.of(answer), null);
@@ -171,19 +175,19 @@
         }
     }
 
-    /** The first bytes of a large value are there. */
-    void begun(Answer head, ValueFlow flow) {
-        if (endsNow()) {
+    /** Passes on the head of a large value, whose first bytes have arrived. */
+    void onValueStarted(Answer head, ValueFlow flow) {
+        if (markEnded()) {
             pools.host().begun(exchange, attempt, server, startedAt, ResponseInfo.of(head), flow);
         } else {
             flow.abandon();
         }
     }
 
-    /** The one place where it ends and gives back its timer; returns false where it has ended before. */
-    private boolean endsNow() {
-        boolean first = !over;
-        over = true;
+    /** Marks the execution as ended and cancels its timer; returns false if it had ended before. */
+    private boolean markEnded() {
+        boolean first = !ended;
+        ended = true;
         if (first && timer != null) {
             timer.cancel(false);
         }
@@ -199,18 +203,18 @@
     public void withdraw() {
         if (!isOut()) {
             cancel();
-        } else if (!over) {
+        } else if (!ended) {
             link.abandon(this);
         }
     }
 
-    /** Whether it may still begin: somebody waits for its answer. */
+    /** Whether it may still be sent: a client still waits for its answer, or it is a probe. */
     boolean isWanted() {
         return isProbe() || exchange.isWanted();
     }
 
     private void giveUp(Api.Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             if (link != null) {
                 link.withdraw(this);
             }
@@ -223,7 +227,7 @@
     }
 
     private void end(Api.Outcome outcome, ResponseInfo info, byte[] body) {
-        if (!endsNow()) {
+        if (!markEnded()) {
             return;
         }
         if (isProbe()) {
--- a/router/src/main/java/stagepier/server/LinkActivity.java
+++ b/router/src/main/java/stagepier/server/LinkActivity.java
@@ -3,123 +3,132 @@
 import stagepier.overload.SilenceDetector;
 
 /**
- * When something was last received on one connection to a cache server, and what that says of the connection. Free of I/O; all times
- * in seconds of the router's clock.
+ * Times at which data was last received on one connection to a cache server, and what follows from them for the state
+ * of the connection. Performs no I/O; all times are in seconds of the router's clock.
  */
 final class LinkActivity {
-    /** Seconds after an answer that names no request within which the next such one may be the same again. */
-    private static final double SECOND_WITHIN = 0.05;
-    /** Seconds of rest after which it is looked what has come before a link is used again. */
-    private static final double RESTED = 0.002;
+    /** In seconds. Two answers without a request id within this time may be the same answer sent twice. */
+    private static final double DUPLICATE_WITHIN = 0.05;
+    /** In seconds. A link that was idle for longer is checked for unread input before it is used again. */
+    private static final double IDLE_CHECK_AFTER = 0.002;
 
-    /** What is usual of all connections to the server. */
-    private final SilenceDetector silence;
-    /** When an answer came last, or the first request was sent after the link was idle. */
-    private double heardAt;
+    /** Statistics of the waiting times on all connections to the server. */
+    private final SilenceDetector silenceDetector;
+    /** Time of the last answer, or of the first request that was sent after the link was idle. */
+    private double lastAnswerAt;
 
-    private double bytesAt;
-    /** When an answer came last that names no request. */
-    private double refusedAt = Double.NEGATIVE_INFINITY;
-    /** Answers that came on other links, since this one was last heard, to what was sent later. */
-    private int passedBy;
-    /** The longest rest between two pieces of the large value that is being received. */
-    private double longestRest;
+    private double lastBytesAt;
+    /** Time of the last answer that carries no request id. */
+    private double answerWithoutIdAt = Double.NEGATIVE_INFINITY;
+    /** Number of answers to later requests that arrived on other links since data was last received on this one. */
+    private int overtakes;
+    /** Longest pause, in seconds, between two pieces of the large value that is being received. */
+    private double longestPause;
 
-    LinkActivity(SilenceDetector silence, double now) {
-        this.silence = silence;
-        heardAt = now;
+    LinkActivity(SilenceDetector silenceDetector, double now) {
+        this.silenceDetector = silenceDetector;
+        lastAnswerAt = now;
     }
 
-    double heardAt() {
-        return heardAt;
+    double lastAnswerAt() {
+        return lastAnswerAt;
     }
 
-    double bytesAt() {
-        return bytesAt;
+    double lastBytesAt() {
+        return lastBytesAt;
     }
 
-    double longestRest() {
-        return longestRest;
+    double longestPause() {
+        return longestPause;
     }
 
-    /** The link is up, or is used again with nothing awaited on it. */
-    void begins(double now) {
-        heardAt = now;
+    /** Restarts the measurement when the link comes up, or is used again with no answer pending. */
+    void restart(double now) {
+        lastAnswerAt = now;
     }
 
-    /** A large value begins. */
-    void valueBegins() {
-        longestRest = 0;
+    /** Resets the longest pause at the start of a large value. */
+    void onValueStarted() {
+        longestPause = 0;
     }
 
-    /** The server may go on sending, which it could not before. */
-    void resumed(double now) {
-        bytesAt = now;
+    /** Notes that the router reads again after back-pressure, which had stopped the server from sending. */
+    void onResumed(double now) {
+        lastBytesAt = now;
     }
 
     /**
-     * Bytes were received.
+     * Notes that bytes were received.
      *
-     * @param insideValue they are of a large value
-     * @param resting     the server could have sent them before, and did not
+     * @param insideValue whether they belong to a large value
+     * @param serverPaused whether the pause before them was the server's, not caused by back-pressure
      */
-    void received(double now, boolean insideValue, boolean resting) {
-        longestRest = Math.max(longestRest, insideValue && resting ? now - bytesAt : 0);
-        bytesAt = now;
-        passedBy = 0;
-        heardAt = insideValue ? bytesAt : heardAt;
+    void onBytes(double now, boolean insideValue, boolean serverPaused) {
+        longestPause = Math.max(longestPause, insideValue && serverPaused ? now - lastBytesAt : 0);
+        lastBytesAt = now;
+        overtakes = 0;
+        lastAnswerAt = insideValue ? lastBytesAt : lastAnswerAt;
     }
 
-    /** A whole answer, or the head of a large one, is among the bytes that were received; returns for how long it was waited. */
-    double answered() {
-        double wait = bytesAt - heardAt;
-        heardAt = bytesAt;
+    /**
+     * Notes that the received bytes complete an answer or the head of a large value; returns how long that answer was
+     * pending.
+     */
+    double onAnswer() {
+        double wait = lastBytesAt - lastAnswerAt;
+        lastAnswerAt = lastBytesAt;
         return wait;
     }
 
     /**
-     * An answer came that names no request. Guards against a refusal that comes twice: the second one would tell of another request
-     * that it never ran.
+     * Notes an answer that carries no request id. If a server sends a refusal twice, the second one would be taken for
+     * the refusal of another request, which may in fact run.
      *
-     * @return whether another one came so shortly before that this may be the same again
+     * @return whether the previous such answer came so shortly before that this may be a duplicate of it
      */
-    boolean refusedAgain() {
-        boolean again = bytesAt - refusedAt < SECOND_WITHIN;
-        refusedAt = bytesAt;
-        return again;
+    boolean onAnswerWithoutId() {
+        boolean repeated = lastBytesAt - answerWithoutIdAt < DUPLICATE_WITHIN;
+        answerWithoutIdAt = lastBytesAt;
+        return repeated;
     }
 
-    /** Since when something has been due with nothing received. */
+    /** Seconds without any input, while an answer is pending. */
     double silentFor(double now) {
-        return now - Math.max(heardAt, bytesAt);
+        return now - Math.max(lastAnswerAt, lastBytesAt);
     }
 
-    /** Another link has answered what was sent at that time; returns whether that speaks against this one. */
-    boolean passedBy(double sentAt) {
-        if (sentAt <= Math.max(heardAt, bytesAt)) {
+    /**
+     * Notes that another link has received the answer to a request sent at that time; returns whether that request was
+     * sent after the last input on this link, so that this link has been overtaken.
+     */
+    boolean overtaken(double sentAt) {
+        if (sentAt <= Math.max(lastAnswerAt, lastBytesAt)) {
             return false;
         }
-        passedBy++;
+        overtakes++;
         return true;
     }
 
-    /** Whether usual answers do not need so long. */
-    boolean isQuiet(double wait) {
-        return silence.isQuiet(wait);
+    /** Whether a waiting time is longer than usual answers need. */
+    boolean isUnusuallyLong(double wait) {
+        return silenceDetector.isUnusuallyLong(wait);
     }
 
-    /** Whether it was not heard for longer than any answer may take. */
+    /** Whether no answer has arrived for longer than any answer may take. */
     boolean isSilent(double now) {
-        return silence.isSilent(now - heardAt);
+        return silenceDetector.isSilent(now - lastAnswerAt);
     }
 
-    /** Seconds until a link that has waited so long counts as fallen silent; infinite where nothing speaks for it. */
-    double deadIn(double wait) {
-        return silence.deadIn(wait, passedBy);
+    /**
+     * Seconds until a link with that waiting time counts as silent; infinite if no other link has overtaken it often
+     * enough.
+     */
+    double silentIn(double wait) {
+        return silenceDetector.silentIn(wait, overtakes);
     }
 
-    /** Whether its server may have closed it, or sent something that nobody asked for, since it was heard. */
-    boolean hasRested(double now) {
-        return now - heardAt > RESTED;
+    /** Whether the link was idle for so long that its server may have closed it or sent unrequested bytes. */
+    boolean hasBeenIdle(double now) {
+        return now - lastAnswerAt > IDLE_CHECK_AFTER;
     }
 }
--- a/router/src/main/java/stagepier/server/LinkOpener.java
+++ b/router/src/main/java/stagepier/server/LinkOpener.java
@@ -16,39 +16,39 @@
 import stagepier.logging.RateLimitedWarning;
 
 /**
- * Brings up the connections of links. Tries again while it is this machine that has no socket, port or route for a moment: that says
- * nothing of the server, and what waits on the link has not been sent.
+ * Opens the connections of links. Retries if the connection failed for lack of a local socket, port or route: such a
+ * failure says nothing about the server, and the requests queued on the link have not been sent.
  */
 final class LinkOpener {
     private static final Logger LOG = LoggerFactory.getLogger(LinkOpener.class);
-    private static final double WARN_EVERY = 10;
+    private static final double WARN_INTERVAL = 10;
     private static final long RETRY_FIRST_MS = 2;
-    private static final long RETRY_MOST_MS = 32;
+    private static final long RETRY_MAX_MS = 32;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Connector connector;
-    private final double within;
-    private final RateLimitedWarning unreached =
-            new RateLimitedWarning(LOG, "no connection to a cache server", WARN_EVERY);
+    private final double retryFor;
+    private final RateLimitedWarning failures =
+            new RateLimitedWarning(LOG, "no connection to a cache server", WARN_INTERVAL);
     private long opened;
 
-    /** @param within seconds after which it is not tried again */
-    LinkOpener(EventLoop loop, Clock clock, Connector connector, double within) {
+    /** @param retryFor seconds after which a connection is not retried */
+    LinkOpener(EventLoop loop, Clock clock, Connector connector, double retryFor) {
         this.loop = loop;
         this.clock = clock;
         this.connector = connector;
-        this.within = within;
+        this.retryFor = retryFor;
     }
 
-    /** Connects a new link; what it was given waits until it is up, and ends where it never comes up. */
+    /** Connects a new link. Requests queued on the link wait until it is up and end if it never comes up. */
     void open(ServerLink link, InetSocketAddress address) {
         opened++;
-        connect(new Opening(link, address, clock.now() + within), RETRY_FIRST_MS);
+        connect(new Opening(link, address, clock.now() + retryFor), RETRY_FIRST_MS);
     }
 
-    /** @param until when it is not tried again, in seconds of the clock */
-    private record Opening(ServerLink link, InetSocketAddress address, double until) {}
+    /** @param giveUpAt time after which the connection is not retried, in seconds of the clock */
+    private record Opening(ServerLink link, InetSocketAddress address, double giveUpAt) {}
 
     private void connect(Opening opening, long retryMs) {
         ChannelFuture up;
@@ -73,13 +73,13 @@
     }
 
     private void failed(Opening opening, Throwable cause, long retryMs) {
-        unreached.warn(clock.now(), opening.address() + ": " + cause.getMessage());
+        failures.warn(clock.now(), opening.address() + ": " + cause.getMessage());
         ServerLink link = opening.link();
         if (!isLocal(cause)) {
             link.drop();
-        } else if (!link.isOver()) {
-            link.holdUpHere();
-            if (clock.now() + retryMs / 1e3 < opening.until()) {
+        } else if (!link.hasClosed()) {
+            link.markLocalFailure();
+            if (clock.now() + retryMs / 1e3 < opening.giveUpAt()) {
                 loop.schedule(() -> retry(opening, retryMs), retryMs, TimeUnit.MILLISECONDS);
             } else {
                 link.drop();
@@ -88,12 +88,12 @@
     }
 
     private void retry(Opening opening, long retryMs) {
-        if (!opening.link().isOver()) {
-            connect(opening, Math.min(RETRY_MOST_MS, 2 * retryMs));
+        if (!opening.link().hasClosed()) {
+            connect(opening, Math.min(RETRY_MAX_MS, 2 * retryMs));
         }
     }
 
-    /** Whether it is this machine that could not connect, whatever the other is like. */
+    /** Whether the failure is local to this machine and independent of the server. */
     private static boolean isLocal(Throwable cause) {
         return cause instanceof ChannelException
                 || cause instanceof SocketException
@@ -101,13 +101,13 @@
                         && !(cause instanceof NoRouteToHostException);
     }
 
-    /** Links that were to be connected. */
+    /** Number of links for which a connection was requested. */
     long opened() {
         return opened;
     }
 
-    /** Tries to connect that failed. */
+    /** Number of connection attempts that failed. */
     long failed() {
-        return unreached.count();
+        return failures.count();
     }
 }
--- a/router/src/main/java/stagepier/server/SendGuard.java
+++ b/router/src/main/java/stagepier/server/SendGuard.java
@@ -5,8 +5,8 @@
 import stagepier.invariants.InvariantMonitor;
 
 /**
- * The last look before the first byte of an attempt: the one place that lets it begin. What comes here was sorted out before; whatever
- * was not is counted as a violation, and is not sent.
+ * The final check before the first byte of an attempt is sent. Earlier checks should have removed every attempt that
+ * must not start; one that is found here is counted as a violation and not sent.
  */
 final class SendGuard {
     private final InvariantMonitor invariants;
@@ -15,18 +15,24 @@
         this.invariants = invariants;
     }
 
-    /** How an attempt ends that may not begin; null where it may. */
+    /** Returns the outcome of an attempt that must not be sent, or null if it may be sent. */
     Api.Outcome rejection(Execution execution, ServerPool pool) {
         if (!invariants.check(
-                Invariant.SENT_ONLY_WHILE_WANTED, execution.isWanted(), () -> "nobody waits for " + execution)) {
+                Invariant.SENT_ONLY_WHILE_WANTED,
+                execution.isWanted(),
+                () -> "the answer is no longer awaited: " + execution)) {
             return Api.Outcome.CANCELLED;
         }
         if (!invariants.check(
-                Invariant.SENT_ONLY_TO_LISTED_SERVER, !pool.isRetired(), () -> "its server drains: " + execution)) {
+                Invariant.SENT_ONLY_TO_LISTED_SERVER,
+                !pool.isRetired(),
+                () -> "the server drains or was removed: " + execution)) {
             return Api.Outcome.CONNECT_FAILED;
         }
         if (!invariants.check(
-                Invariant.SENT_ONLY_IN_TIME, !execution.isBelated(), () -> "begins too late: " + execution)) {
+                Invariant.SENT_ONLY_IN_TIME,
+                !execution.isPastLatestStart(),
+                () -> "the latest start time has passed: " + execution)) {
             return Api.Outcome.NOT_SENT;
         }
         return null;
--- a/router/src/main/java/stagepier/server/ServerLink.java
+++ b/router/src/main/java/stagepier/server/ServerLink.java
@@ -12,91 +12,98 @@
 import stagepier.memcache.MalformedException;
 import stagepier.memcache.RingBuffer;
 
-/** A connection to a cache server. Its answers come in the order of its executions. */
+/** A connection to a cache server. Answers arrive in the order of the executions. */
 final class ServerLink extends Link {
-    /** Bytes that are read at once while a large value comes. */
-    private static final int LARGE_READ = 64 * 1024;
+    /** Maximum number of bytes per read while a large value is received. */
+    private static final int LARGE_READ_BYTES = 64 * 1024;
 
     private final ServerPool pool;
-    private final UnsentExecutions waiting = new UnsentExecutions();
-    /** Handed to the socket, in order; those given up keep their place, for their answers still come. */
-    private final ArrayDeque<Execution> sent = new ArrayDeque<>();
+    private final UnsentExecutions unsent = new UnsentExecutions();
+    /**
+     * Executions that were handed to the socket, in order. A cancelled one keeps its place, because its answer still
+     * arrives.
+     */
+    private final ArrayDeque<Execution> inFlight = new ArrayDeque<>();
 
     private final double openedAt;
     private boolean up;
-    /** It is this machine that could not connect it so far. */
-    private boolean heldUpHere;
+    /** Whether the connection failed so far for a reason local to this machine. */
+    private boolean localFailure;
 
-    private boolean awaitsList;
-    /** Takes nothing new, and ends once nobody waits for an answer on it. */
+    private boolean awaitsServerList;
+    /** Accepts no new executions, and closes once no pending execution is left. */
     private boolean retired;
 
     private final LinkActivity activity;
     private final StallTimer stallTimer;
 
     private final AnswerParser parser;
-    /** The large value that is being moved on, or null. */
+    /** The large value that is being transferred, or null. */
     private ValueFlow flow;
-    /** The link's count of bytes at which the message that was queued last begins. */
-    private long beganAt;
+    /** Value of the counter of queued bytes at the start of the message that was queued last. */
+    private long lastMessageStart;
 
-    private boolean goingOn;
+    private boolean continuationScheduled;
 
     ServerLink(ServerPool pool) {
         this.pool = pool;
-        parser = new AnswerParser(pool.pools().room(), pool.pools().reports());
+        parser = new AnswerParser(pool.pools().valueMemory(), pool.pools().reports());
         openedAt = pool.pools().now();
-        activity = new LinkActivity(pool.silence(), openedAt);
-        stallTimer = new StallTimer(pool.pools().loop(), pool.pools().stallMost(), new PartialAnswer());
+        activity = new LinkActivity(pool.silenceDetector(), openedAt);
+        stallTimer = new StallTimer(pool.pools().loop(), pool.pools().stallTimeout(), new PartialAnswer());
     }
 
-    void take(Execution execution) {
+    void submit(Execution execution) {
         execution.link(this);
-        waiting.add(execution);
+        unsent.add(execution);
         pump();
     }
 
-    /** Executions whose answers a new one would have to wait for. */
+    /** Number of executions that are queued or in flight on this link. */
     int load() {
-        return waiting.size() + sent.size();
+        return unsent.size() + inFlight.size();
     }
 
     /**
-     * The less there is to wait for the better; of links that are alike, the one that was heard longest ago. Guards
-     * against asking on a link on whose last answer something follows that has not come yet.
+     * Prefers links without a large value in transfer, then links that are not slow, then links with fewer pending
+     * executions. Of equal ones it prefers the link whose last answer is the oldest: unrequested bytes that follow that
+     * answer have then most likely arrived and are seen before the link is used.
      */
-    boolean isBetterThan(ServerLink other, double now) {
-        if (isFlowing() != other.isFlowing()) {
-            return other.isFlowing();
+    boolean isPreferredTo(ServerLink other, double now) {
+        if (hasFlow() != other.hasFlow()) {
+            return other.hasFlow();
         }
-        if (isQuiet(now) != other.isQuiet(now)) {
-            return other.isQuiet(now);
+        if (isSlow(now) != other.isSlow(now)) {
+            return other.isSlow(now);
         }
         if (load() != other.load()) {
             return load() < other.load();
         }
-        return up != other.up ? up : heardAt() < other.heardAt();
+        return up != other.up ? up : lastAnswerAt() < other.lastAnswerAt();
     }
 
-    /** Since when an answer has been due with nothing heard, in seconds; 0 with none due. */
-    private double wait(double now) {
-        return sent.isEmpty() || isHeldUp() ? 0 : activity.silentFor(now);
+    /** Seconds for which an answer has been due with no input; 0 if none is due. */
+    private double waitTime(double now) {
+        return inFlight.isEmpty() || isBackPressured() ? 0 : activity.silentFor(now);
     }
 
-    boolean isQuiet(double now) {
-        return activity.isQuiet(wait(now));
+    boolean isSlow(double now) {
+        return activity.isUnusuallyLong(waitTime(now));
     }
 
-    /** Another link has answered what was sent at that time; returns whether that speaks against this one. */
-    boolean passedBy(double sentAt) {
-        return !sent.isEmpty() && activity.passedBy(sentAt);
+    /**
+     * Notes that another link has received the answer to a request sent at that time; returns whether this link has
+     * been overtaken.
+     */
+    boolean overtaken(double sentAt) {
+        return !inFlight.isEmpty() && activity.overtaken(sentAt);
     }
 
-    /** Seconds until it counts as fallen silent while the server answers elsewhere; infinite where it does not. */
-    double deadIn(double now) {
-        return sent.isEmpty() || parser.isBlocked() || isFlowing()
+    /** Seconds until the link counts as silent while the server answers on other links; infinite if it does not. */
+    double silentIn(double now) {
+        return inFlight.isEmpty() || parser.isBlocked() || hasFlow()
                 ? Double.POSITIVE_INFINITY
-                : activity.deadIn(wait(now));
+                : activity.silentIn(waitTime(now));
     }
 
     boolean isIdle() {
@@ -107,23 +114,26 @@
         return openedAt;
     }
 
-    double heardAt() {
-        return activity.heardAt();
+    double lastAnswerAt() {
+        return activity.lastAnswerAt();
     }
 
     /**
-     * Guards against putting work behind answers that never come: a server that took requests and answers none,
-     * or that vanished, shows only as silence.
+     * Whether the link must not get new executions because its pending answers may never arrive. A server that accepts
+     * requests without answering them, or that has vanished, is only noticed by its silence.
      */
     boolean isSilent(double now) {
-        Execution first = sent.peek();
-        return first != null && !isFlowing() && (first.timedOut() || activity.isSilent(now));
+        Execution first = inFlight.peek();
+        return first != null && !hasFlow() && (first.timedOut() || activity.isSilent(now));
     }
 
-    /** The server's address or process has changed: what is out here may still be answered, the rest goes elsewhere. */
+    /**
+     * Retires the link after the server's address or process has changed. Executions in flight may still be answered;
+     * queued ones move to another link.
+     */
     void retire() {
         retired = true;
-        if (!hasLive()) {
+        if (!hasPending()) {
             close(CloseReason.SERVER_RETIRED);
         }
     }
@@ -132,70 +142,78 @@
         return retired;
     }
 
-    /** A large value is on its way on it. */
-    boolean isFlowing() {
+    /** Whether a large value is being transferred on this link. */
+    boolean hasFlow() {
         return flow != null;
     }
 
-    /** Somebody waits for the rest of a large value. */
-    private boolean isWanted() {
+    /** Whether a client still waits for the rest of a large value. */
+    private boolean isFlowWanted() {
         return flow != null && !flow.isAbandoned();
     }
 
-    /** It is not the server that keeps what is due on it from coming, but a client that does not read. */
-    boolean isHeldUp() {
-        return isWanted() && unread() >= pool.pools().window();
+    /** Whether the router does not read from the server because a client does not read its value. */
+    boolean isBackPressured() {
+        return isFlowWanted() && unread() >= pool.pools().window();
     }
 
-    boolean hasLive() {
-        return isWanted() || !waiting.isEmpty() || sent.stream().anyMatch(e -> !e.isOver());
+    boolean hasPending() {
+        return isFlowWanted() || !unsent.isEmpty() || inFlight.stream().anyMatch(e -> !e.isEnded());
     }
 
-    /** An execution that was given up: not sent at all if that can still be. */
+    /** Removes a cancelled execution from the queue if it has not been sent. */
     void withdraw(Execution execution) {
-        waiting.remove(execution);
+        unsent.remove(execution);
     }
 
     /**
-     * Nobody waits for an execution that was handed to the socket. Guards against a long request that is half sent when its
-     * client goes, and would begin at its server when its last byte comes there: it is cut off, unless somebody else waits here.
+     * Called when no client waits any more for an execution that was handed to the socket. If the request is only partly
+     * written, the server would start it once the last byte arrives. The link is therefore closed before that, unless
+     * another execution is pending on it.
      */
     void abandon(Execution execution) {
-        boolean alone = !isWanted() && waiting.isEmpty() && sent.stream().allMatch(e -> e == execution || e.isOver());
-        if (alone && execution.endsAt() > takenBytes()) {
+        boolean alone =
+                !isFlowWanted() && unsent.isEmpty() && inFlight.stream().allMatch(e -> e == execution || e.isEnded());
+        if (alone && execution.endOffset() > takenBytes()) {
             execution.cancel();
             close(CloseReason.UNUSED);
         }
     }
 
     /**
-     * The server drains or is gone: what waits here ends unsent, and so does what the socket has not taken a byte of. One that has
-     * begun goes on. Guards against answers that are on their way here and would be cut off with it.
+     * Handles a drain or the removal of the server: queued executions end unsent, and so does one of which the socket
+     * has not taken a byte yet. An execution that has been started goes on; closing the link would lose answers that
+     * are already on their way.
      */
     void drain() {
-        waiting.endAll(Api.Outcome.CONNECT_FAILED);
-        if (up && !nothingQueued() && takenBytes() <= beganAt) {
+        unsent.endAll(Api.Outcome.CONNECT_FAILED);
+        if (up && !nothingQueued() && takenBytes() <= lastMessageStart) {
             close(CloseReason.SERVER_RETIRED);
         }
     }
 
-    /** Nothing is awaited on it and it has rested so long that its server may close it before anything else arrives there. */
-    boolean isRestedOut(double now) {
-        return up && sent.isEmpty() && now - activity.heardAt() >= pool.pools().idleMost();
+    /**
+     * Whether the link has been idle for so long that its server may close it before the next request arrives there.
+     */
+    boolean isIdleTooLong(double now) {
+        return up
+                && inFlight.isEmpty()
+                && now - activity.lastAnswerAt() >= pool.pools().maxIdle();
     }
 
     /**
-     * Guards against a request on a link that its server has closed, or on which something came that nobody asked for: it
-     * would end as one that may have run. What waits here then goes to another link.
+     * Checks an idle link before it is used again. A request that is sent on a link which the server has closed, or on
+     * which unrequested bytes have arrived, would end as one that may have run. If the check closes the link, its
+     * queued executions move to another one.
      */
-    private void proveRested() {
+    private void checkIdleLink() {
         double now = pool.pools().now();
-        if (waiting.isEmpty() || !sent.isEmpty()) {
+        if (unsent.isEmpty() || !inFlight.isEmpty()) {
             return;
         }
-        if (isRestedOut(now)) {
+        if (isIdleTooLong(now)) {
             close(CloseReason.RESTED);
-        } else if (activity.hasRested(now)) {
+        } else if (activity.hasBeenIdle(now)) {
             readNow();
         }
     }
@@ -203,55 +221,61 @@
     @Override
     protected void onUp() {
         up = true;
-        heldUpHere = false;
-        activity.begins(pool.pools().now());
+        localFailure = false;
+        activity.restart(pool.pools().now());
         pump();
     }
 
     @Override
     protected void fill() {
-        if (waiting.isEmpty() || mustWaitForList()) {
+        if (unsent.isEmpty() || mustWaitForServerList()) {
             return;
         }
         if (pool.isRetired()) {
-            // The last point before bytes go out: whatever brought it here, nothing new goes to a server that drains.
-            waiting.endAll(Api.Outcome.CONNECT_FAILED);
+            // Last check before bytes are sent: no new execution goes to a draining server, whichever path led here.
+            unsent.endAll(Api.Outcome.CONNECT_FAILED);
         }
-        waiting.endBelated();
-        waiting.cancelUnwanted(this::nothingQueued);
-        proveRested();
+        unsent.endPastLatestStart();
+        unsent.cancelUnwanted(this::nothingQueued);
+        checkIdleLink();
         if (isClosed() || isInputOver()) {
             return;
         }
-        // One at a time: what waits here can still be withdrawn, what is in the ring, or waits at the server, can not.
-        if (nothingQueued() && !waiting.isEmpty() && sent.size() < pool.pools().streams()) {
-            Execution next = waiting.next();
+        // Queues one at a time: an execution can be withdrawn while it is queued here, but not once it is in the ring
+        // buffer or at the server.
+        if (nothingQueued()
+                && !unsent.isEmpty()
+                && inFlight.size() < pool.pools().streams()) {
+            Execution next = unsent.removeFirst();
             Api.Outcome rejection = pool.pools().sendGuard().rejection(next, pool);
             if (rejection != null) {
                 next.end(rejection);
                 return;
             }
-            if (sent.isEmpty()) {
-                activity.begins(pool.pools().now());
-                next.alone();
+            if (inFlight.isEmpty()) {
+                activity.restart(pool.pools().now());
+                next.markAlone();
             }
             next.sentAt(pool.pools().now());
-            sent.add(next);
+            inFlight.add(next);
             byte[] message = next.message();
-            next.endsAt(queue(message));
-            beganAt = next.endsAt() - message.length;
+            next.endOffset(queue(message));
+            lastMessageStart = next.endOffset() - message.length;
         }
     }
 
-    /** Guards against a link that comes up after the process stood still, before what was told meanwhile is read. */
-    private boolean mustWaitForList() {
-        if (!awaitsList) {
-            awaitsList = pool.pools().host().mustWaitForList(() -> {
-                awaitsList = false;
+    /**
+     * Returns whether sending has to wait for a new server list. After the process stood still, a link may come up
+     * before the changes of the list from that time have been read.
+     */
+    private boolean mustWaitForServerList() {
+        if (!awaitsServerList) {
+            awaitsServerList = pool.pools().host().mustWaitForList(() -> {
+                awaitsServerList = false;
                 pump();
             });
         }
-        return awaitsList;
+        return awaitsServerList;
     }
 
     @Override
@@ -259,101 +283,104 @@
 
     @Override
     protected boolean wantsInput() {
-        return !parser.isBlocked() && !isHeldUp();
+        return !parser.isBlocked() && !isBackPressured();
     }
 
-    /** The rest of a large value waits for room at its client, or an answer for room among all that are collected. */
+    /**
+     * Whether input is kept after the connection has ended: the rest of a large value waits for its client to read, or
+     * an answer waits for memory.
+     */
     @Override
     protected boolean takesLater() {
-        return isWanted() || parser.isBlocked();
+        return isFlowWanted() || parser.isBlocked();
     }
 
-    /** Nothing can be sent on it any more: what was not goes to another link. */
+    /** No further request can be sent, so queued executions move to another link. */
     @Override
     protected void onInputOver() {
         retired = true;
-        waiting.moveTo(pool::take);
+        unsent.moveTo(pool::dispatch);
     }
 
     @Override
     protected void onBytes() {
         pool.pools().delay().onRead(pool.pools().now());
-        workOn();
+        processInput();
     }
 
-    /** Takes answers, and sends what has waited for them. */
-    private void workOn() {
+    /** Processes answers, then sends the executions that waited for them. */
+    private void processInput() {
         digest();
         pump();
     }
 
     @Override
     protected int readMost() {
-        return isFlowing()
+        return hasFlow()
                 ? Math.max(1, pool.pools().window() - unread())
-                : parser.isInside() ? LARGE_READ : super.readMost();
+                : parser.isInside() ? LARGE_READ_BYTES : super.readMost();
     }
 
-    /** There may be room for the large value that waits for it. */
-    private void unblock() {
-        activity.resumed(pool.pools().now());
-        workOn();
+    /** Continues after memory has been released for the large value that waits for it. */
+    private void onMemoryReleased() {
+        activity.onResumed(pool.pools().now());
+        processInput();
         readOn();
     }
 
     private Answer next(RingBuffer bytes) throws MalformedException {
-        Execution first = sent.peek();
-        Answer answer = parser.next(bytes, first != null && !first.isOver());
+        Execution first = inFlight.peek();
+        Answer answer = parser.next(bytes, first != null && !first.isEnded());
         if (answer == null && parser.isBlocked()) {
-            // Not at once: who gives room back is in the middle of something.
-            pool.pools().room().await(() -> pool.pools().loop().execute(this::unblock));
+            // Deferred to a task: the caller that releases the memory has not finished its own step.
+            pool.pools().valueMemory().await(() -> pool.pools().loop().execute(this::onMemoryReleased));
         }
         return answer;
     }
 
-    /** Whether an answer has come in part. */
-    private boolean isInside() {
+    /** Whether an answer has arrived in part. */
+    private boolean hasPartialAnswer() {
         return unread() > 0 || parser.isInside();
     }
 
-    /** A value of which the first bytes are there: from here on it is passed on as it comes. */
-    private void begin(Answer head, Execution first) {
+    /** Starts to forward a value of which the first bytes have arrived. */
+    private void startFlow(Answer head, Execution first) {
         flow = new ValueFlow(head.flow(), new ValueFlow.Source() {
             @Override
             public int moveTo(RingBuffer to) {
                 int n = parser.move(input(), to, pool.pools().window());
                 if (n > 0) {
-                    goOn();
+                    scheduleProcessing();
                 }
                 return n;
             }
 
             @Override
             public void abandoned() {
-                goOn();
+                scheduleProcessing();
             }
         });
-        activity.valueBegins();
-        pool.pools().flowBegins();
-        first.begun(head, flow);
+        activity.onValueStarted();
+        pool.pools().onFlowStarted();
+        first.onValueStarted(head, flow);
     }
 
-    /** By way of a task: who takes bytes is in the middle of something. */
-    private void goOn() {
-        if (!goingOn) {
-            goingOn = true;
+    /** Schedules further processing as a task, because the caller that takes bytes has not finished its own step. */
+    private void scheduleProcessing() {
+        if (!continuationScheduled) {
+            continuationScheduled = true;
             pool.pools().loop().execute(() -> {
-                goingOn = false;
+                continuationScheduled = false;
                 if (!isClosed()) {
-                    workOn();
+                    processInput();
                     readOn();
                 }
             });
         }
     }
 
-    /** Moves on what has come of the value; returns whether that was its end. */
-    private boolean flowsOn(RingBuffer bytes) throws MalformedException {
+    /** Moves on the received bytes of the value; returns whether the value is complete. */
+    private boolean advanceFlow(RingBuffer bytes) throws MalformedException {
         if (flow.isAbandoned()) {
             parser.passOver(bytes);
         } else {
@@ -362,19 +389,19 @@
         if (flow == null || !parser.endsFlow(bytes)) {
             return false;
         }
-        boolean tail = endsOrder();
+        boolean surplus = completeFirst();
         endFlow(true);
-        refuse(tail);
+        rejectSurplus(surplus);
         return true;
     }
 
-    /** The one place where a flow ends on this side. */
-    private void endFlow(boolean whole) {
+    /** Ends the value transfer on the server side; the only method that does. */
+    private void endFlow(boolean complete) {
         ValueFlow ended = flow;
         flow = null;
         if (ended != null) {
-            pool.pools().flowEnds(whole || ended.isAbandoned());
-            if (whole) {
+            pool.pools().onFlowEnded(complete || ended.isAbandoned());
+            if (complete) {
                 ended.onComplete();
             } else {
                 ended.onFailure();
@@ -383,186 +410,196 @@
     }
 
     /**
-     * The first of what was sent has its answer; returns whether more has come than belongs to it. Guards against taking that
-     * for the next answer: nothing more is asked here, whatever comes of telling who waited for this one.
+     * Removes the first execution in flight, which has its answer; returns whether surplus bytes follow. These must not
+     * be taken for the next answer, so the link accepts no new execution, whatever the callback for this answer does.
      */
-    private boolean endsOrder() {
-        sent.remove();
+    private boolean completeFirst() {
+        inFlight.remove();
         stallTimer.cancel();
-        boolean tail = sent.isEmpty() && unread() > 0;
-        retired |= tail;
-        return tail;
+        boolean surplus = inFlight.isEmpty() && unread() > 0;
+        retired |= surplus;
+        return surplus;
     }
 
-    private static void refuse(boolean tail) throws MalformedException {
-        if (tail) {
-            throw new MalformedException("more than belongs to an answer");
+    private static void rejectSurplus(boolean surplus) throws MalformedException {
+        if (surplus) {
+            throw new MalformedException("unrequested bytes after an answer");
         }
     }
 
     @Override
     protected void onInput(RingBuffer bytes) throws MalformedException {
-        activity.received(pool.pools().now(), isFlowing(), !isHeldUp());
+        activity.onBytes(pool.pools().now(), hasFlow(), !isBackPressured());
         while (true) {
-            if (isFlowing() && !flowsOn(bytes)) {
-                awaitRest();
+            if (hasFlow() && !advanceFlow(bytes)) {
+                startStallTimer();
                 return;
             }
             Answer answer = next(bytes);
             if (answer == null) {
                 break;
             }
-            double wait = activity.answered();
-            Execution first = sent.peek();
+            double wait = activity.onAnswer();
+            Execution first = inFlight.peek();
             if (first == null || !first.accepts(answer)) {
-                throw new MalformedException("an answer to nothing that was asked");
+                throw new MalformedException("no pending request matches the answer");
             }
             if (answer.flow() > 0) {
-                pool.answered(this, first.sentAt(), wait);
-                begin(answer, first);
+                pool.onAnswer(this, first.sentAt(), wait);
+                startFlow(answer, first);
                 if (isClosed()) {
                     return;
                 }
                 continue;
             }
-            boolean doubtful = isDoubtful(answer, first);
-            boolean tail = endsOrder();
-            pool.answered(this, first.sentAt(), wait);
-            if (doubtful) {
+            boolean possibleDuplicate = isPossibleDuplicate(answer, first);
+            boolean surplus = completeFirst();
+            pool.onAnswer(this, first.sentAt(), wait);
+            if (possibleDuplicate) {
                 retired = true;
                 first.end(Api.Outcome.CANCELLED);
             } else {
-                first.answered(answer);
+                first.onAnswer(answer);
             }
             if (isClosed()) {
                 return;
             }
-            refuse(tail);
+            rejectSurplus(surplus);
         }
-        if (sent.isEmpty() && isInside()) {
-            throw new MalformedException("bytes that nothing asked for");
+        if (inFlight.isEmpty() && hasPartialAnswer()) {
+            throw new MalformedException("unrequested bytes on an idle connection");
         }
-        if (retired && !hasLive()) {
+        if (retired && !hasPending()) {
             close(CloseReason.UNUSED);
-        } else if (isInside()) {
-            awaitRest();
+        } else if (hasPartialAnswer()) {
+            startStallTimer();
         }
     }
 
-    /** Whether a refusal may be the one before, come twice. Whoever may run twice is told what came. */
-    private boolean isDoubtful(Answer answer, Execution first) {
+    /**
+     * Whether a refusal may be a duplicate of the one before. An execution that may run twice gets it as its outcome
+     * anyway.
+     */
+    private boolean isPossibleDuplicate(Answer answer, Execution first) {
         boolean busy = answer.kind() == Answer.Kind.BUSY;
-        boolean namesNone = busy || answer.kind() == Answer.Kind.FAILED;
-        boolean again = namesNone && activity.refusedAgain();
-        return busy && again && !first.mayRunTwice();
+        boolean withoutId = busy || answer.kind() == Answer.Kind.FAILED;
+        boolean repeated = withoutId && activity.onAnswerWithoutId();
+        return busy && repeated && !first.mayRunTwice();
     }
 
-    private void awaitRest() {
+    private void startStallTimer() {
         if (!isClosed()) {
             stallTimer.start();
         }
     }
 
     /**
-     * When an answer of which nothing more comes counts as stopped for good. One that is passed on as it comes is waited for until
-     * the client's time is up and as long as an answer may be late, and from then on a few of the rests that its server has made
-     * in it so far. Guards against a server that writes in pieces and has only begun when the time is up, and against a client
-     * that waits for ever.
+     * Returns the time at which an incomplete answer counts as stalled. A value that is being forwarded is waited for
+     * until the client's deadline plus the time by which an answer may be late, and after that for a few times the
+     * longest pause that its server has made in it. So a server that writes in pieces and has just started at the
+     * deadline is not cut off, and a client does not wait forever.
      */
-    private double stopsAt() {
-        double usual = pool.pools().stallMost();
-        Execution first = sent.peek();
-        double bytesAt = activity.bytesAt();
-        if (!isFlowing() || first == null) {
-            return bytesAt + usual;
+    private double stallDeadline() {
+        double stallTimeout = pool.pools().stallTimeout();
+        Execution first = inFlight.peek();
+        double bytesAt = activity.lastBytesAt();
+        if (!hasFlow() || first == null) {
+            return bytesAt + stallTimeout;
         }
-        double rested = bytesAt + Math.max(usual, ServerPools.FLOW_RESTS * activity.longestRest());
+        double afterPauses = bytesAt + Math.max(stallTimeout, ServerPools.FLOW_PAUSE_FACTOR * activity.longestPause());
         return Math.min(
-                bytesAt + ServerPools.FLOW_STALL_MOST,
-                Math.max(rested, first.timeIsUpAt() + ServerPools.FLOW_LATE_MOST));
+                bytesAt + ServerPools.FLOW_STALL_MAX,
+                Math.max(afterPauses, first.deadline() + ServerPools.FLOW_LATE_MAX));
     }
 
-    /** Guards against an answer that never becomes whole: all behind it would wait until their time is up. */
+    /**
+     * Closes the link on an answer that never becomes complete; otherwise all answers behind it would wait until their
+     * timeouts.
+     */
     private final class PartialAnswer implements StallTimer.PartialAnswer {
         @Override
-        public boolean isInside() {
-            return !isClosed() && ServerLink.this.isInside();
+        public boolean isIncomplete() {
+            return !isClosed() && ServerLink.this.hasPartialAnswer();
         }
 
         @Override
-        public double stopsIn() {
-            return isWaitedFor() ? stopsAt() - pool.pools().now() : Double.POSITIVE_INFINITY;
+        public double stalledIn() {
+            return isWaitingForServer() ? stallDeadline() - pool.pools().now() : Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public void stopped() {
-            onMalformed(new MalformedException("an answer that stopped in the middle"));
+        public void onStalled() {
+            onMalformed(new MalformedException("an incomplete answer stalled"));
         }
     }
 
-    /** It is the server that the rest of an answer is waited for from: it has not given all, and this side reads on. */
-    private boolean isWaitedFor() {
-        return !parser.isBlocked() && !isHeldUp() && !isInputOver() && !(isFlowing() && parser.hasRest(input()));
+    /**
+     * Whether the rest of an answer is missing because of the server: the router reads, and the server has not sent all
+     * of it.
+     */
+    private boolean isWaitingForServer() {
+        return !parser.isBlocked() && !isBackPressured() && !isInputOver() && !(hasFlow() && parser.hasRest(input()));
     }
 
     /**
-     * A spoilt answer: the execution that it was for has run, or may have. The others that were sent may have run, but
-     * it is this side that gives them up, for nothing that comes here can be told apart any more.
+     * Ends the execution to which a malformed answer belongs as an error, since it has run or may have. The other
+     * executions in flight may have run as well, but are cancelled by the router, because no later input on this link
+     * can be attributed to a request.
      */
     @Override
     protected void onMalformed(MalformedException e) {
-        pool.pools().malformed(e);
+        pool.pools().onMalformed(e);
         retired = true;
         endFlow(false);
-        Execution first = sent.peek();
-        if (first != null && first.endsAt() <= writtenBytes()) {
-            sent.remove();
+        Execution first = inFlight.peek();
+        if (first != null && first.endOffset() <= writtenBytes()) {
+            inFlight.remove();
             first.end(Api.Outcome.ERROR);
         }
-        List<Execution> behind = new ArrayList<>(sent);
-        behind.removeIf(x -> x.endsAt() > writtenBytes());
-        sent.removeAll(behind);
-        behind.forEach(x -> x.end(Api.Outcome.CANCELLED));
+        List<Execution> others = new ArrayList<>(inFlight);
+        others.removeIf(x -> x.endOffset() > writtenBytes());
+        inFlight.removeAll(others);
+        others.forEach(x -> x.end(Api.Outcome.CANCELLED));
         close(CloseReason.MALFORMED);
     }
 
-    /** It is this machine that could not connect it by now. */
-    void holdUpHere() {
-        heldUpHere = true;
+    /** Notes that the connection failed for a reason local to this machine. */
+    void markLocalFailure() {
+        localFailure = true;
     }
 
-    /** Whether it is this machine that keeps it from coming up. */
-    boolean isHeldUpHere() {
-        return heldUpHere;
+    /** Whether a reason local to this machine keeps the link from coming up. */
+    boolean hasLocalFailure() {
+        return localFailure;
     }
 
-    /** Whether it has ended. */
-    boolean isOver() {
+    /** Whether the link is closed. */
+    boolean hasClosed() {
         return isClosed();
     }
 
-    /** Closes from this side. */
+    /** Closes the link from this side. */
     void drop() {
         close(CloseReason.UNUSED);
     }
 
     @Override
     protected void onClosed() {
-        pool.closed(this);
+        pool.onClosed(this);
         parser.drop();
         endFlow(false);
         stallTimer.cancel();
-        List<Execution> lost = new ArrayList<>(sent);
-        sent.clear();
-        for (Execution e : lost) {
-            // Only a request whose last byte the socket took may have run.
-            e.end(e.endsAt() <= writtenBytes() ? Api.Outcome.RESET : Api.Outcome.CONNECT_FAILED);
+        List<Execution> ended = new ArrayList<>(inFlight);
+        inFlight.clear();
+        for (Execution e : ended) {
+            // Only a request whose last byte was taken by the socket may have run.
+            e.end(e.endOffset() <= writtenBytes() ? Api.Outcome.RESET : Api.Outcome.CONNECT_FAILED);
         }
         if (up) {
-            // Not a byte of these was sent: they go to another link of the server.
-            waiting.moveTo(pool::take);
+            // No byte of these was sent: they move to another link of the server.
+            unsent.moveTo(pool::dispatch);
         } else {
-            waiting.endAll(heldUpHere ? Api.Outcome.NOT_SENT : Api.Outcome.CONNECT_FAILED);
+            unsent.endAll(localFailure ? Api.Outcome.NOT_SENT : Api.Outcome.CONNECT_FAILED);
         }
     }
 }
--- a/router/src/main/java/stagepier/server/ServerPool.java
+++ b/router/src/main/java/stagepier/server/ServerPool.java
@@ -13,76 +13,87 @@
 
 /** The links to one cache server; owns them. */
 final class ServerPool {
-    /** Links to one server given up for their silence alone: a new one costs it a handshake. */
-    private static final double GIVEN_UP_A_SECOND = 2;
+    /**
+     * Limit on the links to one server that are closed only because they are silent, per second; each new link costs
+     * the server a handshake.
+     */
+    private static final double SILENT_CLOSES_PER_SECOND = 2;
 
-    private static final double GIVEN_UP_AT_ONCE = 4;
-    /** Seconds after which it is tried again where no more may be given up now. */
-    private static final double AGAIN_IN = 0.02;
+    private static final double SILENT_CLOSES_BURST = 4;
+    /** Seconds until the next check when the limit allows no further close. */
+    private static final double RECHECK_AFTER = 0.02;
 
     private final ServerPools pools;
     private final List<ServerLink> links = new ArrayList<>();
-    private final SilenceDetector silence;
-    private final TokenBucket givenUp = new TokenBucket(GIVEN_UP_A_SECOND, GIVEN_UP_AT_ONCE);
+    private final SilenceDetector silenceDetector;
+    private final TokenBucket closeBudget = new TokenBucket(SILENT_CLOSES_PER_SECOND, SILENT_CLOSES_BURST);
     private InetSocketAddress address;
     private boolean retired;
-    /** The next look for silent links, and when it is; null for none. */
-    private Future<?> looking;
+    /** The next check for silent links, and its time; null if none is scheduled. */
+    private Future<?> silenceCheck;
 
-    private double lookAt;
+    private double silenceCheckAt;
 
     ServerPool(ServerPools pools) {
         this.pools = pools;
-        silence = new SilenceDetector(pools.shortestDeadline());
+        silenceDetector = new SilenceDetector(pools.shortestDeadline());
     }
 
-    SilenceDetector silence() {
-        return silence;
+    SilenceDetector silenceDetector() {
+        return silenceDetector;
     }
 
-    /** An answer came on a link to what was handed to it at that time, after so long as the first in its order. */
-    void answered(ServerLink on, double sentAt, double wait) {
-        silence.answered(wait);
+    /**
+     * Notes that an answer arrived on a link.
+     *
+     * @param answering the link that received it
+     * @param sentAt when its request was handed to the link
+     * @param wait   seconds for which it was the first pending answer there
+     */
+    void onAnswer(ServerLink answering, double sentAt, double wait) {
+        silenceDetector.recordWait(wait);
         for (ServerLink link : links) {
-            if (link != on && link.passedBy(sentAt)) {
-                lookIn(link.deadIn(pools.now()));
+            if (link != answering && link.overtaken(sentAt)) {
+                scheduleSilenceCheck(link.silentIn(pools.now()));
             }
         }
     }
 
-    /** Looks for silent links then, unless that is to be done sooner anyway. */
-    private void lookIn(double seconds) {
+    /** Schedules a check for silent links, unless an earlier one is scheduled. */
+    private void scheduleSilenceCheck(double seconds) {
         double at = pools.now() + seconds;
-        if (seconds == Double.POSITIVE_INFINITY || looking != null && at >= lookAt) {
+        if (seconds == Double.POSITIVE_INFINITY || silenceCheck != null && at >= silenceCheckAt) {
             return;
         }
-        if (looking != null) {
-            looking.cancel(false);
+        if (silenceCheck != null) {
+            silenceCheck.cancel(false);
         }
-        lookAt = at;
-        // By way of a timer even if it is now: what has come must be read first, for its answer may be among that.
-        looking = pools.loop()
-                .schedule(this::giveUpSilent, (long) (Math.max(0, seconds) * 1e6) + 1, TimeUnit.MICROSECONDS);
+        silenceCheckAt = at;
+        // Uses a timer even for an immediate check, so that input which has already arrived, possibly the awaited
+        // answer, is read first.
+        silenceCheck = pools.loop()
+                .schedule(this::closeSilentLinks, (long) (Math.max(0, seconds) * 1e6) + 1, TimeUnit.MICROSECONDS);
     }
 
     /**
-     * Guards against work that is stuck on a connection gone silent until its time is up, and against holding that
-     * against a server that answers elsewhere. Few at a time: an origin that stalls makes many wait that are not silent.
+     * Closes silent links, so that requests on a broken connection do not wait until their timeouts and the server is
+     * not blamed while it answers on other links. Closes only a few at a time: when the origin stalls, many links wait
+     * that are not broken.
      */
-    private void giveUpSilent() {
-        looking = null;
+    private void closeSilentLinks() {
+        silenceCheck = null;
         double now = pools.now();
         double next = Double.POSITIVE_INFINITY;
         for (ServerLink link : new ArrayList<>(links)) {
-            double in = link.deadIn(now - pools.delay().unreadFor(now));
-            if (in <= 0 && givenUp.spend(now)) {
-                pools.silenced();
+            double remaining = link.silentIn(now - pools.delay().unreadFor(now));
+            if (remaining <= 0 && closeBudget.spend(now)) {
+                pools.onSilentLinkClosed();
                 link.drop();
             } else {
-                next = Math.min(next, Math.max(AGAIN_IN, in));
+                next = Math.min(next, Math.max(RECHECK_AFTER, remaining));
             }
         }
-        lookIn(next);
+        scheduleSilenceCheck(next);
     }
 
     ServerPools pools() {
@@ -93,7 +104,7 @@
         return links.size();
     }
 
-    /** What the list says now. Links to an address or a process that is no more take nothing new. */
+    /** Applies the current server list entry. Links to a previous address or process get no new executions. */
     void update(InetSocketAddress to, double started) {
         for (ServerLink link : new ArrayList<>(links)) {
             if (!to.equals(address) || link.openedAt() < started) {
@@ -105,8 +116,8 @@
     }
 
     /**
-     * The server drains or is gone: nothing new from now on. Guards against an execution that waits for a link
-     * and would be sent after the grace of the drain rule.
+     * Stops sending when the server drains or is removed. An execution that still waits for a link would otherwise be
+     * sent after the grace period of the drain rule.
      */
     void retire() {
         retired = true;
@@ -118,48 +129,48 @@
         return retired;
     }
 
-    void take(Execution execution) {
+    void dispatch(Execution execution) {
         if (retired) {
             execution.end(Api.Outcome.CONNECT_FAILED);
             return;
         }
         double now = pools.now();
-        dropIdle(link -> link.isRestedOut(now));
+        closeIdleWhere(link -> link.isIdleTooLong(now));
         ServerLink best = null;
-        ServerLink deaf = null;
+        ServerLink replaceable = null;
         for (ServerLink link : links) {
             if (link.isRetired() || link.isSilent(now)) {
-                if (deaf == null && !link.hasLive()) {
-                    deaf = link;
+                if (replaceable == null && !link.hasPending()) {
+                    replaceable = link;
                 }
-            } else if (best == null || link.isBetterThan(best, now)) {
+            } else if (best == null || link.isPreferredTo(best, now)) {
                 best = link;
             }
         }
-        int most = pools.linksMost();
-        if (best == null && links.size() >= most && deaf != null) {
-            deaf.drop();
+        int maxLinks = pools.maxLinks();
+        if (best == null && links.size() >= maxLinks && replaceable != null) {
+            replaceable.drop();
         }
-        boolean mayOpen = (links.isEmpty() || pools.hasSpare())
-                && links.size() < (best == null || best.isFlowing() ? most : pools.linksUsual());
-        if (mayOpen && (best == null || best.load() > 0) && pools.makesRoom()) {
-            ServerLink fresh = new ServerLink(this);
-            links.add(fresh);
-            // Before the connect: one that fails at once must find what it has to end.
-            fresh.take(execution);
-            pools.opener().open(fresh, address);
+        boolean mayOpen = (links.isEmpty() || pools.hasSpareDescriptors())
+                && links.size() < (best == null || best.hasFlow() ? maxLinks : pools.usualLinks());
+        if (mayOpen && (best == null || best.load() > 0) && pools.makeRoom()) {
+            ServerLink opened = new ServerLink(this);
+            links.add(opened);
+            // Added before connecting: a connection that fails immediately must find the executions that it has to end.
+            opened.submit(execution);
+            pools.opener().open(opened, address);
         } else if (best == null) {
             execution.end(Api.Outcome.CONNECT_FAILED);
         } else {
-            best.take(execution);
+            best.submit(execution);
         }
     }
 
     void closeIdle() {
-        dropIdle(link -> true);
+        closeIdleWhere(link -> true);
     }
 
-    private void dropIdle(Predicate<ServerLink> which) {
+    private void closeIdleWhere(Predicate<ServerLink> which) {
         for (ServerLink link : new ArrayList<>(links)) {
             if (link.isIdle() && which.test(link)) {
                 link.drop();
@@ -167,23 +178,25 @@
         }
     }
 
-    Stream<ServerLink> idle() {
+    Stream<ServerLink> idleLinks() {
         return links.stream().filter(ServerLink::isIdle);
     }
 
-    /** Gives back what is of no more use: idle for long, or silent with nobody waiting. */
+    /** Closes links of no further use: idle for long, retired, or silent with no pending execution. */
     void sweep(double now) {
         for (ServerLink link : new ArrayList<>(links)) {
-            boolean idleLong = link.isIdle() && (retired || link.isRestedOut(now));
-            boolean deadLong = !link.hasLive() && link.isSilent(now) && now - link.heardAt() > ServerPools.DEAD_AFTER;
-            if (idleLong || deadLong || link.isRetired() && !link.hasLive()) {
+            boolean idleTooLong = link.isIdle() && (retired || link.isIdleTooLong(now));
+            boolean silentTooLong = !link.hasPending()
+                    && link.isSilent(now)
+                    && now - link.lastAnswerAt() > ServerPools.SILENT_CLOSE_AFTER;
+            if (idleTooLong || silentTooLong || link.isRetired() && !link.hasPending()) {
                 link.drop();
             }
         }
     }
 
-    void closed(ServerLink link) {
+    void onClosed(ServerLink link) {
         links.remove(link);
-        pools.closed();
+        pools.onClosed();
     }
 }
--- a/router/src/main/java/stagepier/server/ServerPools.java
+++ b/router/src/main/java/stagepier/server/ServerPools.java
@@ -32,34 +32,45 @@
 /** The server side: a pool of links for each cache server of the list. */
 public final class ServerPools implements ServerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(ServerPools.class);
-    /** An answer of which nothing more comes for so long is spoilt; in parts of the shortest deadline. */
-    private static final double STALL_MOST = 0.15;
-    /** A silent link on which nobody waits any more is closed after so long. */
-    static final double DEAD_AFTER = 5;
-    /** A large value of which nothing more comes for so long is broken off; in seconds. */
-    static final double FLOW_STALL_MOST = 5;
-    /** Until so long after the time of its request it is waited for; from half a second on the client counts it as lost. */
-    static final double FLOW_LATE_MOST = 0.4;
-    /** From then on, in the longest rests that its server has made in it so far. */
-    static final double FLOW_RESTS = 4;
-    /** Bytes of values that flow which links may hold together, and what each may hold at the least and at the most. */
-    private static final int FLOWS_MOST = 6 << 20;
-
-    private static final int WINDOW_LEAST = 4 * 1024;
-    private static final int WINDOW_MOST = 64 * 1024;
-    /** Part of the time after which servers close idle links: closed here first, no request meets a close. */
-    private static final double IDLE_PART = 0.8;
-
-    private static final double WARN_EVERY = 10;
-    /** Of the descriptors for links, how many are kept for those that are closed to make room: a closed one lingers. */
-    private static final int TURNOVER = 8;
-    /** Until then the event loop has looked for input, and only that gives the descriptor of a closed link back. */
-    private static final int LINGERS_MS = 1;
+    /**
+     * An incomplete answer of which no byte arrives for this long is malformed; as a fraction of the shortest deadline.
+     */
+    private static final double STALL_FRACTION = 0.15;
+    /** In seconds. A silent link without pending executions is closed after this time. */
+    static final double SILENT_CLOSE_AFTER = 5;
+    /** In seconds. The transfer of a large value is aborted if no byte of it arrives for this long. */
+    static final double FLOW_STALL_MAX = 5;
+    /**
+     * In seconds. A large value is waited for until this long after the deadline of its request; a client counts it as
+     * lost from half a second after the deadline.
+     */
+    static final double FLOW_LATE_MAX = 0.4;
+    /** After that, it is waited for this many times the longest pause that its server has made in it so far. */
+    static final double FLOW_PAUSE_FACTOR = 4;
+    /** Bytes that all links together may buffer of values in transfer, and the limits for each link. */
+    private static final int FLOW_BYTES_MAX = 6 << 20;
+
+    private static final int WINDOW_MIN = 4 * 1024;
+    private static final int WINDOW_MAX = 64 * 1024;
+    /**
+     * Fraction of the servers' idle timeout after which the router closes an idle link first, so that no request meets
+     * a close by the server.
+     */
+    private static final double IDLE_FRACTION = 0.8;
+
+    private static final double WARN_INTERVAL = 10;
+    /** Number of link descriptors kept in reserve for closed links, which hold their descriptor for a moment. */
+    private static final int CLOSING_RESERVE = 8;
+    /** Time until the event loop has polled again; only then is the descriptor of a closed link released. */
+    private static final int DESCRIPTOR_RELEASE_MS = 1;
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final double PROBE_TIMEOUT = 0.3;
-    /** Bytes of large values that may be on their way from cache servers at a time. Guards the heap, which is small. */
-    private static final long LARGE_VALUES_MOST = 8 << 20;
+    /**
+     * Bytes of large values that may be collected from cache servers at a time. Limits the use of the heap, which is
+     * small.
+     */
+    private static final long LARGE_VALUE_BYTES_MAX = 8 << 20;
 
     static final byte[] PROBE = Protocol.line("mn");
 
@@ -68,30 +79,30 @@
     private final ModuleHost host;
     private final SendGuard sendGuard;
     private final LinkOpener opener;
-    private final Future<?> sweeps;
-    private final double idleMost;
+    private final Future<?> sweepTask;
+    private final double maxIdle;
     private final Map<Long, ServerPool> pools = new HashMap<>();
-    private final int linksMost;
+    private final int linkThreshold;
     private final int descriptors;
     private final int streams;
-    /** Links closed so short ago that their descriptors may still be held. */
-    private int closing;
+    /** Number of links closed so recently that their descriptors may still be held. */
+    private int closingLinks;
 
     private final double shortestDeadline;
-    private final RateLimitedWarning spoilt =
-            new RateLimitedWarning(LOG, "a cache server's answer was spoilt", WARN_EVERY);
+    private final RateLimitedWarning malformedAnswers =
+            new RateLimitedWarning(LOG, "closed a connection to a cache server after malformed input", WARN_INTERVAL);
     private final LoopDelay delay;
-    private long silenced;
-    private int flows;
-    private long flowsBegun;
-    private long flowsBroken;
-    private final MemoryBudget room = new MemoryBudget(LARGE_VALUES_MOST);
+    private long silentLinksClosed;
+    private int activeFlows;
+    private long flowsStarted;
+    private long flowsFailed;
+    private final MemoryBudget valueMemory = new MemoryBudget(LARGE_VALUE_BYTES_MAX);
     private LoadReportFormat reports = new LoadReportFormat(List.of());
 
     /**
-     * @param linksMost   links to all servers together from which on each server gets one at the most
-     * @param descriptors that all links may hold together, whatever waits for one
-     * @param streams     requests that a server has in work at a time for one connection
+     * @param linkThreshold number of links to all servers together from which on each server gets one at most
+     * @param descriptors limit of descriptors for all links together
+     * @param streams requests that a server processes at a time for one connection
      */
     public ServerPools(
             EventLoop loop,
@@ -99,13 +110,13 @@
             LoopDelay delay,
             ModuleHost host,
             Connector connector,
-            int linksMost,
+            int linkThreshold,
             int descriptors,
             Api.Settings settings,
             double idleClose,
             int streams) {
         this.streams = Math.max(1, streams);
-        this.linksMost = linksMost;
+        this.linkThreshold = linkThreshold;
         this.descriptors = descriptors;
         shortestDeadline = settings.classes().stream()
                 .mapToDouble(Api.RequestClass::deadline)
@@ -117,9 +128,9 @@
         this.host = host;
         double connectTimeout = settings.limits().connectTimeout();
         opener = new LinkOpener(loop, clock, connector, connectTimeout > 0 ? connectTimeout : CONNECT_TIMEOUT_MS / 1e3);
-        idleMost = idleClose > 0 ? idleClose * IDLE_PART : Double.POSITIVE_INFINITY;
+        maxIdle = idleClose > 0 ? idleClose * IDLE_FRACTION : Double.POSITIVE_INFINITY;
         sendGuard = new SendGuard(host.invariants());
-        sweeps = loop.scheduleWithFixedDelay(
+        sweepTask = loop.scheduleWithFixedDelay(
                 new GuardedTask("sweep of server links", this::sweep), 1, 1, TimeUnit.SECONDS);
     }
 
@@ -127,23 +138,23 @@
         return clock.now();
     }
 
-    double stallMost() {
-        return STALL_MOST * shortestDeadline;
+    double stallTimeout() {
+        return STALL_FRACTION * shortestDeadline;
     }
 
     double shortestDeadline() {
         return shortestDeadline;
     }
 
-    void silenced() {
-        silenced++;
+    void onSilentLinkClosed() {
+        silentLinksClosed++;
     }
 
     LoopDelay delay() {
         return delay;
     }
 
-    /** Names of the values in the load reports of cache servers. Before the first link is opened. */
+    /** Sets the field names of the cache servers' load reports. Must be called before the first link is opened. */
     public void readReports(List<String> fields) {
         reports = new LoadReportFormat(fields);
     }
@@ -152,23 +163,26 @@
         return reports;
     }
 
-    MemoryBudget room() {
-        return room;
+    MemoryBudget valueMemory() {
+        return valueMemory;
     }
 
-    void flowBegins() {
-        flows++;
-        flowsBegun++;
+    void onFlowStarted() {
+        activeFlows++;
+        flowsStarted++;
     }
 
-    void flowEnds(boolean whole) {
-        flows--;
-        flowsBroken += whole ? 0 : 1;
+    void onFlowEnded(boolean complete) {
+        activeFlows--;
+        flowsFailed += complete ? 0 : 1;
     }
 
-    /** Bytes of a value that flows which a link may hold now: the more flow, the less each. Guards the heap. */
+    /**
+     * Bytes of a value in transfer that a link may buffer now. The limit shrinks with the number of transfers, so that
+     * their sum does not exhaust the heap.
+     */
     int window() {
-        return Math.max(WINDOW_LEAST, Math.min(WINDOW_MOST, FLOWS_MOST / Math.max(1, flows)));
+        return Math.max(WINDOW_MIN, Math.min(WINDOW_MAX, FLOW_BYTES_MAX / Math.max(1, activeFlows)));
     }
 
     EventLoop loop() {
@@ -183,12 +197,12 @@
         return sendGuard;
     }
 
-    /** A server that may be sent to. */
+    /** Adds or updates a server to which requests may be sent. */
     public void ready(long server, InetSocketAddress address, double startedAt) {
         pools.computeIfAbsent(server, id -> new ServerPool(this)).update(address, startedAt);
     }
 
-    /** A server that drains or is gone. */
+    /** Stops sending to a server that drains or is removed. */
     public void retire(long server) {
         ServerPool pool = pools.get(server);
         if (pool != null) {
@@ -220,7 +234,7 @@
             return;
         }
         execution.startTimer();
-        pool.take(execution);
+        pool.dispatch(execution);
     }
 
     @Override
@@ -235,22 +249,22 @@
         return opener;
     }
 
-    /** The connector for sockets. */
+    /** Returns the connector for TCP sockets. */
     public static Connector sockets(EventLoop loop, double timeout) {
         int timeoutMs = timeout > 0 ? (int) Math.ceil(timeout * 1e3) : CONNECT_TIMEOUT_MS;
-        return (setUp, address) -> new Bootstrap()
+        return (initializer, address) -> new Bootstrap()
                 .group(loop)
                 .channelFactory(Sockets.connecting())
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs)
-                .handler(setUp)
+                .handler(initializer)
                 .connect(address);
     }
 
-    /** Stops looking after links; for pools whose links have all ended. */
+    /** Stops the periodic sweep; for pools whose links have all ended. */
     public void close() {
-        sweeps.cancel(false);
+        sweepTask.cancel(false);
     }
 
     private void sweep() {
@@ -263,69 +277,74 @@
         return pools.values().stream().mapToInt(ServerPool::size).sum();
     }
 
-    /** Links a server while all have an answer to give; more where descriptors allow, for a slow answer holds up all behind it. */
-    int linksUsual() {
-        return LinkShare.usual(linksMost, pools.size());
+    /**
+     * Links per server while none of them is silent. Allows more than one where descriptors permit, since a slow answer
+     * delays all answers behind it.
+     */
+    int usualLinks() {
+        return LinkShare.usual(linkThreshold, pools.size());
     }
 
-    /** The same with silent ones. */
-    int linksMost() {
-        return LinkShare.most(linksMost, pools.size());
+    /** Links per server at most, including silent ones. */
+    int maxLinks() {
+        return LinkShare.max(linkThreshold, pools.size());
     }
 
-    /** Requests that may be out on one link. */
+    /** Maximum number of requests in flight on one link. */
     int streams() {
         return streams;
     }
 
-    /** Seconds of rest from which on a link may not be used again. */
-    double idleMost() {
-        return idleMost;
+    /** Seconds of idle time after which a link must not be used again. */
+    double maxIdle() {
+        return maxIdle;
     }
 
-    /** A link has ended. */
-    void closed() {
-        closing++;
-        loop.schedule(() -> closing--, LINGERS_MS, TimeUnit.MILLISECONDS);
+    /** Notes that a link has ended. */
+    void onClosed() {
+        closingLinks++;
+        loop.schedule(() -> closingLinks--, DESCRIPTOR_RELEASE_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Whether there is a descriptor for one more link; the idle link that was heard longest ago gives up its own. Guards
-     * against a list longer than the descriptors reach: without one, discovery and clients can't connect either.
+     * Returns whether a descriptor is available for one more link, closing the link that has been idle longest if
+     * necessary. With a server list longer than the number of descriptors, the links would otherwise use up the
+     * descriptors that discovery and clients need to connect.
      */
-    boolean makesRoom() {
-        if (links() + closing >= descriptors) {
+    boolean makeRoom() {
+        if (links() + closingLinks >= descriptors) {
             return false;
         }
-        if (links() < descriptors - TURNOVER) {
+        if (links() < descriptors - CLOSING_RESERVE) {
             return true;
         }
-        Optional<ServerLink> oldest =
-                pools.values().stream().flatMap(ServerPool::idle).min(Comparator.comparingDouble(ServerLink::heardAt));
+        Optional<ServerLink> oldest = pools.values().stream()
+                .flatMap(ServerPool::idleLinks)
+                .min(Comparator.comparingDouble(ServerLink::lastAnswerAt));
         oldest.ifPresent(ServerLink::drop);
         return oldest.isPresent();
     }
 
-    /** Whether there are descriptors for more than one link a server. */
-    boolean hasSpare() {
-        return links() < linksMost;
+    /** Whether descriptors allow more than one link per server. */
+    boolean hasSpareDescriptors() {
+        return links() < linkThreshold;
     }
 
-    void malformed(MalformedException e) {
-        spoilt.warn(now(), e.getMessage());
+    void onMalformed(MalformedException e) {
+        malformedAnswers.warn(now(), e.getMessage());
     }
 
     public void count(ObjLongConsumer<String> to) {
         to.accept("server_links", links());
         to.accept("server_links_opened", opener.opened());
         to.accept("server_links_failed", opener.failed());
-        to.accept("server_input_malformed", spoilt.count());
+        to.accept("server_input_malformed", malformedAnswers.count());
         to.accept("server_reports", reports.received());
         to.accept("server_reports_malformed", reports.malformed());
-        to.accept("server_links_silent", silenced);
-        to.accept("server_large_values_waited", room.waits());
-        to.accept("server_flows", flows);
-        to.accept("server_flows_begun", flowsBegun);
-        to.accept("server_flows_broken", flowsBroken);
+        to.accept("server_links_silent", silentLinksClosed);
+        to.accept("server_large_values_waited", valueMemory.waits());
+        to.accept("server_flows", activeFlows);
+        to.accept("server_flows_begun", flowsStarted);
+        to.accept("server_flows_broken", flowsFailed);
     }
 }
--- a/router/src/main/java/stagepier/server/StallTimer.java
+++ b/router/src/main/java/stagepier/server/StallTimer.java
@@ -4,41 +4,43 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Looks after an answer of which only a part has come: gives it up once it has stopped for good. Owns its one timer. */
+/** Monitors an answer of which only a part has arrived, and reports it once it has stalled. Owns its single timer. */
 final class StallTimer {
-    /** The answer that is looked after, and what becomes of it. */
+    /** The monitored answer, and the callback for a stall. */
     interface PartialAnswer {
-        /** Whether a part of it has come and the rest has not. */
-        boolean isInside();
+        /** Whether a part of it has arrived and the rest has not. */
+        boolean isIncomplete();
 
-        /** Seconds until it counts as stopped, 0 or less where it does by now; infinite while this side does not read on. */
-        double stopsIn();
+        /**
+         * Seconds until it counts as stalled; 0 or less if it already does, infinite while the router does not read.
+         */
+        double stalledIn();
 
-        /** It has stopped for good. */
-        void stopped();
+        /** Called when it has stalled. */
+        void onStalled();
     }
 
     private final EventLoop loop;
-    /** Seconds after which it is looked again while this side does not read on. */
-    private final double lookAgain;
+    /** Seconds between two checks while the router does not read. */
+    private final double recheckInterval;
 
     private final PartialAnswer answer;
     private Future<?> timer;
 
-    StallTimer(EventLoop loop, double lookAgain, PartialAnswer answer) {
+    StallTimer(EventLoop loop, double recheckInterval, PartialAnswer answer) {
         this.loop = loop;
-        this.lookAgain = lookAgain;
+        this.recheckInterval = recheckInterval;
         this.answer = answer;
     }
 
-    /** Begins to look after the answer, unless it does so already. */
+    /** Starts monitoring the answer, unless it is already monitored. */
     void start() {
         if (timer == null) {
             schedule();
         }
     }
 
-    /** The answer has ended: the next one has a time of its own. */
+    /** Stops monitoring after the answer has ended; the next answer gets a time of its own. */
     void cancel() {
         if (timer != null) {
             timer.cancel(false);
@@ -47,18 +49,18 @@
     }
 
     private void schedule() {
-        double stopsIn = answer.stopsIn();
-        double wait = stopsIn == Double.POSITIVE_INFINITY ? lookAgain : stopsIn;
-        timer = loop.schedule(this::look, Math.max(1, (long) Math.ceil(wait * 1e6)), TimeUnit.MICROSECONDS);
+        double stalledIn = answer.stalledIn();
+        double delay = stalledIn == Double.POSITIVE_INFINITY ? recheckInterval : stalledIn;
+        timer = loop.schedule(this::check, Math.max(1, (long) Math.ceil(delay * 1e6)), TimeUnit.MICROSECONDS);
     }
 
-    private void look() {
+    private void check() {
         timer = null;
-        if (!answer.isInside()) {
+        if (!answer.isIncomplete()) {
             return;
         }
-        if (answer.stopsIn() <= 0) {
-            answer.stopped();
+        if (answer.stalledIn() <= 0) {
+            answer.onStalled();
         } else {
             schedule();
         }
--- a/router/src/main/java/stagepier/server/UnsentExecutions.java
+++ b/router/src/main/java/stagepier/server/UnsentExecutions.java
@@ -8,8 +8,8 @@
 import stagepier.Api;
 
 /**
- * The executions that wait on a link, in order: not a byte of these has been handed to the socket, so that they never ran.
- * Whatever ends or moves one may change this queue meanwhile.
+ * The executions that wait on a link, in order. No byte of them has been handed to the socket, so they never ran.
+ * Callbacks that end or move an execution may modify this queue.
  */
 final class UnsentExecutions {
     private final ArrayDeque<Execution> queue = new ArrayDeque<>();
@@ -22,8 +22,8 @@
         queue.remove(execution);
     }
 
-    /** Takes the first one. */
-    Execution next() {
+    /** Removes and returns the first one. */
+    Execution removeFirst() {
         return queue.remove();
     }
 
@@ -35,16 +35,16 @@
         return queue.size();
     }
 
-    /** Ends all, with an outcome that says that they never ran. */
+    /** Ends all with an outcome that states that they never ran. */
     void endAll(Api.Outcome outcome) {
         List<Execution> ended = takeAll();
         ended.forEach(execution -> execution.end(outcome));
     }
 
-    /** Hands all on to somebody else. */
-    void moveTo(Consumer<Execution> other) {
+    /** Removes all and passes them to another receiver. */
+    void moveTo(Consumer<Execution> receiver) {
         List<Execution> moved = takeAll();
-        moved.forEach(other);
+        moved.forEach(receiver);
     }
 
     private List<Execution> takeAll() {
@@ -53,14 +53,21 @@
         return all;
     }
 
-    /** Guards against a repeat that waited here and would come after the window in which its cache server drops repeats. */
-    void endBelated() {
-        List<Execution> belated = queue.stream().filter(Execution::isBelated).toList();
-        queue.removeAll(belated);
-        belated.forEach(execution -> execution.end(Api.Outcome.NOT_SENT));
+    /**
+     * Ends executions whose latest start time has passed. A repeat that waited here for too long would arrive after the
+     * window in which its cache server drops duplicates.
+     */
+    void endPastLatestStart() {
+        List<Execution> expired =
+                queue.stream().filter(Execution::isPastLatestStart).toList();
+        queue.removeAll(expired);
+        expired.forEach(execution -> execution.end(Api.Outcome.NOT_SENT));
     }
 
-    /** Cancels the first ones as long as nobody waits for them. To ask may end the link, or withdraw others that wait. */
+    /**
+     * Cancels executions at the head of the queue whose answers are no longer wanted. The check itself may end the link
+     * or withdraw other queued executions.
+     */
     void cancelUnwanted(BooleanSupplier isLinkFree) {
         for (Execution first = queue.peek();
                 first != null && isLinkFree.getAsBoolean() && !first.isWanted();
--- a/router/src/test/java/stagepier/overload/BacklogWaitTest.java
+++ b/router/src/test/java/stagepier/overload/BacklogWaitTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** For how long a connection may have waited to be accepted. */
+/** The estimate of how long a connection may have waited to be accepted. */
 class BacklogWaitTest {
     private static final int BATCH = 4;
 
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void aRowThatIsNotFullSaysThatNobodyWaits() {
+    void batchBelowTheLimitShowsAnEmptyBacklog() {
         accept(BATCH - 1, 1);
         accept(BATCH, 2);
         assertEquals(1, wait.earliestArrival(3));
     }
 
     @Test
-    void aRowThatEndedBecauseAcceptFailedSaysNothing() {
+    void batchEndedByAFailedAcceptIsIgnored() {
         accept(BATCH - 1, 1);
         accept(1, 2);
         wait.onAcceptFailed();
--- a/router/src/test/java/stagepier/overload/ConnectionSlotsTest.java
+++ b/router/src/test/java/stagepier/overload/ConnectionSlotsTest.java
@@ -17,7 +17,7 @@
     private static final int SLOTS = 200;
 
     @Property(seed = "21", tries = 500)
-    void theShorterPlacesAreTheLessPatienceAndNeverWithOneThatIsOwedAnAnswer(
+    void holdLimitsShrinkAsSlotsBecomeScarceExceptForLinksThatAreOwedAnAnswer(
             @ForAll @IntRange(max = 400) int links, @ForAll @IntRange(max = 2000) int held) {
         ConnectionSlots slots = new ConnectionSlots(SLOTS, 1000);
         Availability less = slots.level(5, links, held);
@@ -35,7 +35,7 @@
                     "idle links may be closed after 2 s, not sooner");
             assertTrue(ConnectionSlots.holdLimit(Behaviour.REGULAR, level)
                     >= ConnectionSlots.holdLimit(Behaviour.ONCE, level));
-            // An error or a close is owed within 3 s, whenever it is looked at.
+            // An error or a close is due within 3 s, whenever the check runs.
             assertTrue(ConnectionSlots.holdLimit(Behaviour.PART, level) + ConnectionSlots.checkInterval(level) < 2.5);
             assertTrue(ConnectionSlots.holdLimit(Behaviour.SLOW, level) >= 2.2, "a client may take 2 s for a command");
             assertTrue(ConnectionSlots.holdLimit(Behaviour.SLOW, level) + ConnectionSlots.checkInterval(level) < 3);
@@ -44,7 +44,7 @@
     }
 
     @Property(seed = "22", tries = 1)
-    void theyStayScarceForAWhileAfterTheyWereFull() {
+    void levelStaysScarceForAWhileAfterFull() {
         ConnectionSlots slots = new ConnectionSlots(SLOTS, 1000);
         assertEquals(Availability.FULL, slots.level(5, SLOTS, 0));
         assertFalse(slots.hasSlot(SLOTS));
@@ -54,16 +54,17 @@
         assertFalse(slots.hasMemory(1000));
     }
 
-    /** One link of the model crowd: what it does, and since when. */
+    /** One link of the simulated clients: its behaviour, and since when. */
     private record Held(Behaviour behaviour, double since) {}
 
     /**
-     * Guards against those who hold slots crowding out those who ask. A crowd of any mix that connects at up to twice
-     * the slots a second, against a policy that is looked through as often as it says: the wait of one that asks.
+     * Links that only hold slots must not crowd out clients with requests. Clients of any mix connect at up to twice
+     * the number of slots per second, and slots are checked at the stated interval; the test measures how long a client
+     * with a request waits.
      */
     @Property(seed = "23", tries = 20)
-    void whoAsksFindsAPlaceSoonWhateverTheOthersDo(
-            @ForAll @IntRange(max = 100) int partOfProbes,
+    void clientWithARequestSoonGetsASlotWhateverOthersDo(
+            @ForAll @IntRange(max = 100) int percentProbes,
             @ForAll @IntRange(min = 50, max = 400) int perSecond,
             @ForAll long seed) {
         Random random = new Random(seed);
@@ -71,7 +72,7 @@
         List<Held> held = new ArrayList<>();
         double backlog = 0;
         double worst = 0;
-        double look = 0;
+        double nextCheck = 0;
         Availability level = Availability.PLENTY;
         for (double now = 0; now < 20; now += 0.01) {
             backlog += perSecond * 0.01;
@@ -79,16 +80,16 @@
                 backlog--;
                 int kind = random.nextInt(100);
                 held.add(new Held(
-                        kind < partOfProbes ? Behaviour.PROBE : kind % 2 == 0 ? Behaviour.SILENT : Behaviour.PART,
+                        kind < percentProbes ? Behaviour.PROBE : kind % 2 == 0 ? Behaviour.SILENT : Behaviour.PART,
                         now));
             }
             worst = Math.max(worst, backlog / perSecond);
-            if (now >= look || !slots.hasSlot(held.size())) {
+            if (now >= nextCheck || !slots.hasSlot(held.size())) {
                 level = slots.level(now, held.size(), 0);
                 Availability at = level;
                 double when = now;
                 held.removeIf(h -> when - h.since() > ConnectionSlots.holdLimit(h.behaviour(), at));
-                look = now + ConnectionSlots.checkInterval(level);
+                nextCheck = now + ConnectionSlots.checkInterval(level);
             }
         }
         assertTrue(worst < 0.55, "waited " + worst + " s");
--- a/router/src/test/java/stagepier/overload/PressureTest.java
+++ b/router/src/test/java/stagepier/overload/PressureTest.java
@@ -13,7 +13,7 @@
     private final Pressure pressure = new Pressure();
 
     @Property(seed = "41", tries = 1)
-    void itRisesAtOnceAndFallsStepByStepAfterAWhile() {
+    void stateRisesImmediatelyAndFallsStepByStepAfterCalm() {
         assertFalse(pressure.update(5, 0.009));
         assertTrue(pressure.update(5.02, 0.2));
         assertTrue(pressure.update(5.04, 0.2));
@@ -29,9 +29,9 @@
         assertEquals(16, pressure.acceptBatch());
     }
 
-    /** Guards against a trap: from any state it is back to normal within 3 s of calm, and it does not flutter. */
+    /** From any state it must return to normal within 3 s of calm, and it must not oscillate. */
     @Property(seed = "42", tries = 300)
-    void itComesBackFromAnythingAndDoesNotFlutter(@ForAll long seed) {
+    void stateReturnsToNormalFromAnyStateWithoutOscillating(@ForAll long seed) {
         Random random = new Random(seed);
         Pressure any = new Pressure();
         double now = 100;
--- a/router/src/test/java/stagepier/overload/SilenceDetectorTest.java
+++ b/router/src/test/java/stagepier/overload/SilenceDetectorTest.java
@@ -10,89 +10,89 @@
 import org.junit.jupiter.api.Test;
 
 class SilenceDetectorTest {
-    private final SilenceDetector silence = new SilenceDetector(1);
+    private final SilenceDetector detector = new SilenceDetector(1);
 
-    private boolean isDead(double wait, int passedBy) {
-        return silence.deadIn(wait, passedBy) <= 0;
+    private boolean isSilent(double wait, int overtakes) {
+        return detector.silentIn(wait, overtakes) <= 0;
     }
 
-    private void usual(double wait, int answers) {
+    private void recordAnswers(double wait, int answers) {
         Random random = new Random(3);
         for (int i = 0; i < answers; i++) {
-            silence.answered(wait * (0.5 + random.nextDouble()));
+            detector.recordWait(wait * (0.5 + random.nextDouble()));
         }
     }
 
     @Test
-    void beforeItKnowsUsualAnswersItIsAsPatientAsItEverIs() {
-        usual(0.02, 7);
-        assertFalse(silence.isQuiet(0.6));
-        assertFalse(isDead(0.6, 100));
-        assertTrue(isDead(0.7, 100));
+    void limitsAreAtTheirMaximumUntilEnoughAnswersAreKnown() {
+        recordAnswers(0.02, 7);
+        assertFalse(detector.isUnusuallyLong(0.6));
+        assertFalse(isSilent(0.6, 100));
+        assertTrue(isSilent(0.7, 100));
     }
 
     @Test
-    void oneThatIsPassedByAndFarBeyondTheUsualIsDead() {
-        usual(0.08, 200);
-        assertFalse(silence.isQuiet(0.1));
-        assertTrue(silence.isQuiet(0.25));
-        assertFalse(isDead(0.1, 100), "not yet unusual");
-        assertTrue(isDead(0.4, 3));
+    void overtakenConnectionFarBeyondUsualWaitsIsSilent() {
+        recordAnswers(0.08, 200);
+        assertFalse(detector.isUnusuallyLong(0.1));
+        assertTrue(detector.isUnusuallyLong(0.25));
+        assertFalse(isSilent(0.1, 100), "not yet unusual");
+        assertTrue(isSilent(0.4, 3));
     }
 
-    /** Guards against closing the links to a server that has stopped: no link tells anything that another does not. */
+    /** The links to a server that has stopped answering must not be closed: none of them differs from another. */
     @Test
-    void aServerThatAnswersNowhereIsNotTheLinksFault() {
-        usual(0.08, 200);
-        assertFalse(isDead(100, 0));
-        assertFalse(isDead(100, 2));
+    void connectionIsNotSilentWhenTheServerAnswersNowhere() {
+        recordAnswers(0.08, 200);
+        assertFalse(isSilent(100, 0));
+        assertFalse(isSilent(100, 2));
     }
 
     @Test
-    void whatIsSlowForAllBecomesUsual() {
-        usual(0.02, 200);
-        assertTrue(silence.isQuiet(0.3));
-        usual(0.4, 100);
-        assertFalse(silence.isQuiet(0.3));
+    void waitThatIsLongForAllConnectionsBecomesUsual() {
+        recordAnswers(0.02, 200);
+        assertTrue(detector.isUnusuallyLong(0.3));
+        recordAnswers(0.4, 100);
+        assertFalse(detector.isUnusuallyLong(0.3));
     }
 
     @Test
-    void anAllowanceIsSpentAndComesBack() {
-        TokenBucket allowance = new TokenBucket(4, 2);
-        assertTrue(allowance.spend(10) && allowance.spend(10));
-        assertFalse(allowance.spend(10.2));
-        assertTrue(allowance.spend(10.25));
-        assertTrue(allowance.spend(100) && allowance.spend(100));
-        assertFalse(allowance.spend(100), "no more is saved up than that");
+    void tokenBucketIsSpentAndRefilled() {
+        TokenBucket bucket = new TokenBucket(4, 2);
+        assertTrue(bucket.spend(10) && bucket.spend(10));
+        assertFalse(bucket.spend(10.2));
+        assertTrue(bucket.spend(10.25));
+        assertTrue(bucket.spend(100) && bucket.spend(100));
+        assertFalse(bucket.spend(100), "no more tokens than the capacity are saved");
     }
 
     @Test
-    void whoWaitsForRoomIsCalledInOrderAndOnlyOnce() {
-        MemoryBudget room = new MemoryBudget(100);
+    void memoryBudgetCallsWaitingOwnersInOrderAndOnlyOnce() {
+        MemoryBudget budget = new MemoryBudget(100);
         List<String> called = new ArrayList<>();
-        assertTrue(room.take(80));
-        assertFalse(room.take(30));
-        room.await(() -> called.add("a"));
-        room.await(() -> called.add("b"));
-        room.release(0);
+        assertTrue(budget.take(80));
+        assertFalse(budget.take(30));
+        budget.await(() -> called.add("a"));
+        budget.await(() -> called.add("b"));
+        budget.release(0);
         assertEquals(List.of(), called);
-        room.release(80);
-        room.release(0);
+        budget.release(80);
+        budget.release(0);
         assertEquals(List.of("a", "b"), called);
-        assertEquals(2, room.waits());
+        assertEquals(2, budget.waits());
     }
 
     @Test
-    void aConnectionIsAsOldAsTheBacklogMayBe() {
+    void connectionMayBeAsOldAsTheLastEmptyBacklog() {
         BacklogWait backlog = new BacklogWait(2);
-        assertEquals(7, backlog.earliestArrival(7), "nothing is known");
+        assertEquals(7, backlog.earliestArrival(7), "no batch has ended yet");
         backlog.onAccepted();
         backlog.onBatchEnd(7);
         assertEquals(7, backlog.earliestArrival(9));
         backlog.onAccepted();
         backlog.onAccepted();
         backlog.onBatchEnd(9);
-        assertEquals(7, backlog.earliestArrival(9), "a whole row: more may be waiting");
+        assertEquals(7, backlog.earliestArrival(9), "a full batch: more connections may be waiting");
         backlog.onBatchEnd(9.1);
         assertEquals(9.1, backlog.earliestArrival(9.2));
         backlog.onIdle(12);
--- a/router/src/test/java/stagepier/server/HoldableConnector.java
+++ b/router/src/test/java/stagepier/server/HoldableConnector.java
@@ -15,27 +15,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Connections over loopback that come up at once or, while they are held, when a test says. */
+/** Opens connections over loopback, immediately or, while it holds them, when a test releases them. */
 public final class HoldableConnector implements Connector {
     private final EventLoop loop;
     private final int sendBuffer;
     private final BlockingQueue<Runnable> waiting = new LinkedBlockingQueue<>();
     private volatile boolean held;
 
-    /** @param sendBuffer bytes that a socket holds for its peer; 0 for the usual */
+    /** @param sendBuffer size of the socket's send buffer in bytes; 0 for the default */
     public HoldableConnector(EventLoop loop, int sendBuffer) {
         this.loop = loop;
         this.sendBuffer = sendBuffer;
     }
 
     @Override
-    public ChannelFuture connect(ChannelHandler setUp, InetSocketAddress address) {
+    public ChannelFuture connect(ChannelHandler initializer, InetSocketAddress address) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
-                .handler(setUp);
+                .handler(initializer);
         if (sendBuffer > 0) {
             bootstrap.option(ChannelOption.SO_SNDBUF, sendBuffer);
         }
@@ -50,12 +50,12 @@
         return up;
     }
 
-    /** From now on connections wait. */
+    /** Holds all connections from now on. */
     public void hold() {
         held = true;
     }
 
-    /** All that wait come up, and later ones at once. */
+    /** Opens all held connections, and later ones immediately. */
     public void release() {
         held = false;
         List<Runnable> all = new ArrayList<>();
@@ -63,11 +63,11 @@
         all.forEach(Runnable::run);
     }
 
-    /** Waits for a connection that is held; it comes up once the task is run. */
+    /** Waits for a connection that is held and returns the task that opens it. */
     public Runnable awaitHeld(long milliseconds) throws InterruptedException {
         Runnable next = waiting.poll(milliseconds, TimeUnit.MILLISECONDS);
         if (next == null) {
-            throw new AssertionError("no connection was to come up");
+            throw new AssertionError("no connection was opened in time");
         }
         return next;
     }
--- a/router/src/test/java/stagepier/server/InterleavingsTest.java
+++ b/router/src/test/java/stagepier/server/InterleavingsTest.java
@@ -28,25 +28,25 @@
 import stagepier.exchange.Exchange;
 
 /**
- * What a cache server and the network do, in ten thousand seeded orders: each attempt ends exactly once, and none that a server
- * has seen is said never to have run, unless it was refused.
+ * Runs ten thousand seeded sequences of cache server and network events. Each attempt must end exactly once, and none
+ * that a server has received may end with an outcome that says it never ran, unless the server refused it.
  */
 @Timeout(120)
 class InterleavingsTest {
     private static final int SEEDS = 10_000;
     private static final int STEPS = 40;
     private static final int SERVERS = 2;
-    private static final double SECOND_WITHIN = 0.03;
+    private static final double DUPLICATE_WITHIN = 0.03;
     private static final Pattern ID = Pattern.compile(" O(\\S+) Pc=");
 
-    /** A link, seen from the cache server. */
-    private static final class Side {
+    /** The cache server's side of a link. */
+    private static final class ServerSide {
         private final EmbeddedChannel channel;
-        private final ArrayDeque<String> due = new ArrayDeque<>();
-        private String last;
+        private final ArrayDeque<String> unanswered = new ArrayDeque<>();
+        private String lastAnswer;
         private double answeredAt;
 
-        Side(EmbeddedChannel channel) {
+        ServerSide(EmbeddedChannel channel) {
             this.channel = channel;
         }
 
@@ -57,55 +57,55 @@
         }
 
         void answer(String text, double now) {
-            last = text;
+            lastAnswer = text;
             answeredAt = now;
             write(text);
         }
     }
 
-    /** One play. */
-    private static final class Play {
+    /** One simulated sequence. */
+    private static final class Simulation {
         private final Random random;
         private final EmbeddedChannel time = new EmbeddedChannel();
-        private final PoolBench bench;
-        private final List<Runnable> connecting = new ArrayList<>();
-        private final List<Side> sides = new ArrayList<>();
-        private final Set<String> seen = new HashSet<>();
-        private final Set<String> refused = new HashSet<>();
-        private final Map<Long, String> asked = new HashMap<>();
+        private final PoolFixture fixture;
+        private final List<Runnable> pendingConnects = new ArrayList<>();
+        private final List<ServerSide> sides = new ArrayList<>();
+        private final Set<String> receivedIds = new HashSet<>();
+        private final Set<String> refusedIds = new HashSet<>();
+        private final Map<Long, String> idsByRequest = new HashMap<>();
 
-        Play(long seed) {
+        Simulation(long seed) {
             random = new Random(seed);
             time.freezeTime();
-            bench = new PoolBench(time.eventLoop(), this::connect, 8, 20);
+            fixture = new PoolFixture(time.eventLoop(), this::connect, 8, 20);
             for (int i = 1; i <= SERVERS; i++) {
-                bench.pools.ready(i, new InetSocketAddress(i), 0);
+                fixture.pools.ready(i, new InetSocketAddress(i), 0);
             }
         }
 
-        private ChannelFuture connect(ChannelHandler setUp, InetSocketAddress address) {
+        private ChannelFuture connect(ChannelHandler initializer, InetSocketAddress address) {
             ChannelPromise up = time.newPromise();
-            connecting.add(() -> {
+            pendingConnects.add(() -> {
                 if (random.nextInt(5) == 0) {
                     up.setFailure(new java.net.ConnectException());
                     return;
                 }
-                Side side = new Side(new EmbeddedChannel(setUp));
+                ServerSide side = new ServerSide(new EmbeddedChannel(initializer));
                 sides.add(side);
                 up.setSuccess();
             });
             return up;
         }
 
-        /** Takes what has been written, and lets happen what is due. */
-        private void settle() {
-            for (Side s : sides) {
+        /** Takes what the links have written, and runs the tasks that are due. */
+        private void runPending() {
+            for (ServerSide s : sides) {
                 s.channel.runPendingTasks();
                 for (ByteBuf bytes = s.channel.readOutbound(); bytes != null; bytes = s.channel.readOutbound()) {
                     Matcher ids = ID.matcher(bytes.toString(StandardCharsets.ISO_8859_1));
                     while (ids.find()) {
-                        s.due.add(ids.group(1));
-                        seen.add(ids.group(1));
+                        s.unanswered.add(ids.group(1));
+                        receivedIds.add(ids.group(1));
                     }
                     bytes.release();
                 }
@@ -113,44 +113,47 @@
             time.runPendingTasks();
         }
 
-        private void pass(int ms) {
-            bench.pass(ms / 1e3);
+        private void advance(int ms) {
+            fixture.advance(ms / 1e3);
             time.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
             time.runScheduledPendingTasks();
         }
 
         private void step() {
-            Side s = sides.isEmpty() ? null : sides.get(random.nextInt(sides.size()));
-            String id = s == null ? null : s.due.peek();
+            ServerSide s = sides.isEmpty() ? null : sides.get(random.nextInt(sides.size()));
+            String id = s == null ? null : s.unanswered.peek();
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> {
-                    String fresh = "r" + asked.size();
-                    Exchange x = bench.ask(fresh, 1 + random.nextInt(SERVERS), random.nextInt(4) == 0 ? 0.05 : 60);
-                    asked.put(x.id(), fresh);
+                    String requestId = "r" + idsByRequest.size();
+                    Exchange x =
+                            fixture.submit(requestId, 1 + random.nextInt(SERVERS), random.nextInt(4) == 0 ? 0.05 : 60);
+                    idsByRequest.put(x.id(), requestId);
                 }
                 case 3, 4 -> {
-                    if (!connecting.isEmpty()) {
-                        connecting.remove(random.nextInt(connecting.size())).run();
+                    if (!pendingConnects.isEmpty()) {
+                        pendingConnects
+                                .remove(random.nextInt(pendingConnects.size()))
+                                .run();
                     }
                 }
                 case 5, 6 -> {
                     if (id != null) {
-                        s.due.remove();
-                        s.answer("HD O" + id + "\r\n", bench.clock.now());
+                        s.unanswered.remove();
+                        s.answer("HD O" + id + "\r\n", fixture.clock.now());
                     }
                 }
                 case 7 -> {
                     if (id != null) {
-                        s.due.remove();
-                        refused.add(id);
-                        s.answer("SERVER_ERROR busy\r\n", bench.clock.now());
+                        s.unanswered.remove();
+                        refusedIds.add(id);
+                        s.answer("SERVER_ERROR busy\r\n", fixture.clock.now());
                     }
                 }
                 case 8 -> {
-                    // A second answer comes within some ms of the first or not at all.
-                    if (s != null && s.last != null && bench.clock.now() - s.answeredAt < SECOND_WITHIN) {
-                        s.write(s.last);
-                        s.last = null;
+                    // A duplicate answer comes within a few milliseconds of the first or not at all.
+                    if (s != null && s.lastAnswer != null && fixture.clock.now() - s.answeredAt < DUPLICATE_WITHIN) {
+                        s.write(s.lastAnswer);
+                        s.lastAnswer = null;
                     }
                 }
                 case 9 -> {
@@ -161,42 +164,46 @@
                 case 10 -> {
                     if (s != null && random.nextInt(3) == 0) {
                         s.channel.close();
-                    } else if (!asked.isEmpty()) {
-                        bench.host.cancel(1 + random.nextInt(asked.size()), 0);
+                    } else if (!idsByRequest.isEmpty()) {
+                        fixture.host.cancel(1 + random.nextInt(idsByRequest.size()), 0);
                     }
                 }
-                default -> pass(random.nextInt(4) == 0 ? 1000 : random.nextInt(10));
+                default -> advance(random.nextInt(4) == 0 ? 1000 : random.nextInt(10));
             }
-            settle();
+            runPending();
         }
 
         private void end() {
             for (int i = 0; i < 8; i++) {
-                pass(1000);
-                settle();
+                advance(1000);
+                runPending();
             }
             Map<Long, Integer> ends = new HashMap<>();
-            for (PoolBench.End e : bench.ended()) {
+            for (PoolFixture.AttemptEnd e : fixture.takeEnds()) {
                 ends.merge(e.request(), 1, Integer::sum);
-                String id = asked.get(e.request());
-                boolean hidden = e.outcome().neverRan() && seen.contains(id);
-                assertTrue(!hidden || e.outcome() == Api.Outcome.FULL && refused.contains(id), id + " " + e.outcome());
+                String id = idsByRequest.get(e.request());
+                boolean claimedUnsent = e.outcome().neverRan() && receivedIds.contains(id);
+                assertTrue(
+                        !claimedUnsent || e.outcome() == Api.Outcome.FULL && refusedIds.contains(id),
+                        id + " " + e.outcome());
             }
-            asked.keySet().forEach(request -> assertEquals(1, ends.get(request), "ends of " + asked.get(request)));
+            idsByRequest
+                    .keySet()
+                    .forEach(request -> assertEquals(1, ends.get(request), "ends of " + idsByRequest.get(request)));
             sides.forEach(s -> s.channel.finishAndReleaseAll());
-            bench.pools.close();
+            fixture.pools.close();
         }
     }
 
     @Test
-    void eachAttemptEndsOnceAndNoneThatWasSeenIsSaidNeverToHaveRun() {
+    void everyAttemptEndsOnceAndNoReceivedRequestIsReportedAsNeverRun() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            Play play = new Play(seed);
+            Simulation simulation = new Simulation(seed);
             try {
                 for (int i = 0; i < STEPS; i++) {
-                    play.step();
+                    simulation.step();
                 }
-                play.end();
+                simulation.end();
             } catch (AssertionError | RuntimeException e) {
                 throw new AssertionError("seed " + seed, e);
             }
--- a/router/src/test/java/stagepier/server/LatestStartTest.java
+++ b/router/src/test/java/stagepier/server/LatestStartTest.java
@@ -6,61 +6,66 @@
 import org.junit.jupiter.api.Timeout;
 import stagepier.Api;
 
-/** Whatever holds a repeat up, not a byte of it goes out once the window is over in which its cache server drops it. */
+/**
+ * However long a repeat is delayed, no byte of it may be sent after the window in which its cache server drops
+ * duplicates.
+ */
 @Timeout(30)
 class LatestStartTest extends OneServerFixture {
-    /** The first that the cache server sees is the one asked last. */
-    private void assertNotSent(PoolBench.Conversation on) throws Exception {
-        assertEquals(Api.Outcome.NOT_SENT, bench.nextOutcome());
-        bench.ask("last");
-        assertEquals("last", on.nextId());
-        on.answer("last");
-        assertEquals(Api.Outcome.OK, bench.nextOutcome());
-        assertEquals(0, bench.endsLeft());
+    /**
+     * Checks that the attempt ends unsent: the first request that the cache server receives is the one submitted last.
+     */
+    private void assertNotSent(PoolFixture.CacheConnection connection) throws Exception {
+        assertEquals(Api.Outcome.NOT_SENT, fixture.nextOutcome());
+        fixture.submit("last");
+        assertEquals("last", connection.nextId());
+        connection.answer("last");
+        assertEquals(Api.Outcome.OK, fixture.nextOutcome());
+        assertEquals(0, fixture.pendingEnds());
     }
 
     @Test
-    void aRepeatOnALinkThatComesUpTooLateIsNotSent() throws Exception {
-        bench.holdConnections();
-        bench.on(() -> bench.ask("late", 1, 0.3));
-        bench.pass(0.3);
-        bench.letConnections();
+    void repeatIsNotSentWhenItsLinkComesUpTooLate() throws Exception {
+        fixture.holdConnections();
+        fixture.onLoop(() -> fixture.submit("late", 1, 0.3));
+        fixture.advance(0.3);
+        fixture.releaseConnections();
         assertNotSent(cache.accept());
     }
 
     @Test
-    void aRepeatOnALinkThatComesUpInTimeIsSent() throws Exception {
-        bench.holdConnections();
-        bench.on(() -> bench.ask("late", 1, 60));
-        bench.pass(0.3);
-        bench.letConnections();
-        PoolBench.Conversation on = cache.accept();
-        assertEquals("late", on.nextId());
-        on.answer("late");
-        assertEquals(Api.Outcome.OK, bench.nextOutcome());
+    void repeatIsSentWhenItsLinkComesUpInTime() throws Exception {
+        fixture.holdConnections();
+        fixture.onLoop(() -> fixture.submit("late", 1, 60));
+        fixture.advance(0.3);
+        fixture.releaseConnections();
+        PoolFixture.CacheConnection connection = cache.accept();
+        assertEquals("late", connection.nextId());
+        connection.answer("late");
+        assertEquals(Api.Outcome.OK, fixture.nextOutcome());
     }
 
     @Test
-    void aRepeatThatWaitsForTheListTooLongIsNotSent() throws Exception {
-        bench.holdConnections();
-        bench.on(() -> bench.ask("late", 1, 2));
-        bench.on(() -> {
-            bench.standStill();
+    void repeatIsNotSentWhenTheServerListArrivesTooLate() throws Exception {
+        fixture.holdConnections();
+        fixture.onLoop(() -> fixture.submit("late", 1, 2));
+        fixture.onLoop(() -> {
+            fixture.simulateStall();
             return null;
         });
-        bench.letConnections();
-        PoolBench.Conversation on = cache.accept();
-        bench.awaitListAsked();
-        bench.pass(2);
-        bench.on(bench::listCame);
-        assertNotSent(on);
+        fixture.releaseConnections();
+        PoolFixture.CacheConnection connection = cache.accept();
+        fixture.awaitListRequested();
+        fixture.advance(2);
+        fixture.onLoop(fixture::deliverList);
+        assertNotSent(connection);
     }
 
-    /** A twentieth of the window, 15 ms at the least, are kept for the way. */
+    /** A twentieth of the window, at least 15 ms, is reserved for the transmission. */
     @Test
-    void theWayToTheServerIsKeptBack() throws Exception {
-        bench.on(() -> bench.ask("late", 1, PoolBench.WINDOW * 0.04));
-        assertEquals(Api.Outcome.NOT_SENT, bench.nextOutcome());
-        assertEquals(0, bench.counter("server_links_opened"));
+    void timeForTransmissionIsReserved() throws Exception {
+        fixture.onLoop(() -> fixture.submit("late", 1, PoolFixture.WINDOW * 0.04));
+        assertEquals(Api.Outcome.NOT_SENT, fixture.nextOutcome());
+        assertEquals(0, fixture.counter("server_links_opened"));
     }
 }
--- a/router/src/test/java/stagepier/server/PoolBench.java
+++ b/router/src/test/java/stagepier/server/PoolFixture.java
@@ -29,12 +29,12 @@
 import stagepier.overload.LoopDelay;
 import stagepier.settings.SettingsParser;
 
-/** The pools of a router on a real event loop, with a module that does what a test says and a clock that a test moves on. */
-final class PoolBench implements Closeable {
+/** The pools of a router on a real event loop, with a module controlled by the test and a manual clock. */
+final class PoolFixture implements Closeable {
     static final int WAIT_MS = 5000;
     /** Seconds after which a cache server closes an idle connection. */
     static final double IDLE = 60;
-    /** Seconds for which repeats of class p are dropped. */
+    /** Seconds for which cache servers drop duplicates of requests of class p. */
     static final double WINDOW = 0.5;
 
     private static final String SETTINGS = """
@@ -43,9 +43,9 @@
             "IdleClose":60},"Obligations":{"DrainGrace":1}}""";
 
     /** How an attempt ended, and the load report that came with its answer. */
-    record End(long request, int attempt, Api.Outcome outcome, List<Float> report) {}
+    record AttemptEnd(long request, int attempt, Api.Outcome outcome, List<Float> report) {}
 
-    /** A cache server on loopback; the test is its mind. */
+    /** A cache server on loopback that is operated by the test. */
     static final class Cache implements Closeable {
         private final ServerSocket listening = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
 
@@ -57,8 +57,8 @@
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort());
         }
 
-        Conversation accept() throws IOException {
-            return new Conversation(listening.accept());
+        CacheConnection accept() throws IOException {
+            return new CacheConnection(listening.accept());
         }
 
         @Override
@@ -67,19 +67,19 @@
         }
     }
 
-    /** One connection, seen from the cache server. */
-    static final class Conversation {
+    /** The cache server's side of one connection. */
+    static final class CacheConnection {
         final Socket socket;
         private final BufferedReader in;
 
-        Conversation(Socket socket) throws IOException {
+        CacheConnection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(WAIT_MS);
             socket.setTcpNoDelay(true);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
         }
 
-        /** The id of the next request, or null where the router has closed the connection. */
+        /** The id of the next request, or null if the router has closed the connection. */
         String nextId() throws IOException {
             String line = in.readLine();
             if (line != null && line.startsWith("ms ")) {
@@ -102,22 +102,22 @@
     final LoopDelay delay = new LoopDelay();
     final ModuleHost host;
     final ServerPools pools;
-    private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
     private final HoldableConnector connector;
-    private Runnable goOn;
-    /** What happens in the middle of the module's next decision. */
+    private Runnable listContinuation;
+    /** Runs during the next decision of the module. */
     private Runnable beforeSend = () -> {};
 
     private long server;
     private double startWithin = Double.POSITIVE_INFINITY;
 
-    /** One on sockets. */
-    PoolBench(int linksMost, int descriptors) {
-        this(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next(), null, linksMost, descriptors);
+    /** Creates one with real sockets. */
+    PoolFixture(int linkThreshold, int descriptors) {
+        this(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next(), null, linkThreshold, descriptors);
     }
 
-    /** @param other brings up connections; null for one to sockets */
-    PoolBench(EventLoop loop, Connector other, int linksMost, int descriptors) {
+    /** @param other opens the connections; null for real sockets */
+    PoolFixture(EventLoop loop, Connector other, int linkThreshold, int descriptors) {
         this.loop = loop;
         SettingsParser.Parsed settings = SettingsParser.parse(SETTINGS);
         host = new ModuleHost(loop, clock, delay, settings);
@@ -128,7 +128,7 @@
                 delay,
                 host,
                 other == null ? connector : other,
-                linksMost,
+                linkThreshold,
                 descriptors,
                 settings.settings(),
                 IDLE,
@@ -136,34 +136,39 @@
         host.connect(new Module(), pools);
     }
 
-    /** Connections come up no sooner than they are let. */
+    /** Holds new connections until they are released. */
     void holdConnections() {
         connector.hold();
     }
 
-    void letConnections() {
+    void releaseConnections() {
         connector.release();
     }
 
-    /** The process stands still now; the list, asked for anew when that is seen, comes when the test says so. On the event loop. */
-    void standStill() {
+    /**
+     * Simulates a process that stands still now. The server list, which is requested again when the stall is detected,
+     * arrives when the test calls {@link #deliverList}. On the event loop.
+     */
+    void simulateStall() {
         delay.onPoll(clock.now());
-        pass(0.6);
+        advance(0.6);
         host.connectList(then -> {
-            goOn = then;
+            listContinuation = then;
             host.connectList(Runnable::run);
         });
     }
 
-    /** Until the event loop has looked for input, and whatever is due then is done. */
-    void turn() throws Exception {
+    /** Waits until the event loop has polled for input and run the tasks that were due then. */
+    void awaitPoll() throws Exception {
         loop.schedule(() -> {}, 2, TimeUnit.MILLISECONDS).get(WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    void awaitListAsked() throws Exception {
-        for (long end = System.nanoTime() + WAIT_MS * 1_000_000L; on(() -> goOn == null); Thread.onSpinWait()) {
+    void awaitListRequested() throws Exception {
+        for (long end = System.nanoTime() + WAIT_MS * 1_000_000L;
+                onLoop(() -> listContinuation == null);
+                Thread.onSpinWait()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("nobody asked for the list");
+                throw new AssertionError("the server list was not requested");
             }
         }
     }
@@ -172,29 +177,29 @@
         beforeSend = what;
     }
 
-    /** The list has come. On the event loop. */
-    Runnable listCame() {
-        goOn.run();
-        return goOn;
+    /** Delivers the server list. On the event loop. */
+    Runnable deliverList() {
+        listContinuation.run();
+        return listContinuation;
     }
 
-    <T> T on(Callable<T> work) throws Exception {
+    <T> T onLoop(Callable<T> work) throws Exception {
         return loop.submit(work).get(WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    void pass(double seconds) {
+    void advance(double seconds) {
         clock.pass(seconds);
     }
 
     void ready(long id, InetSocketAddress address) throws Exception {
-        on(() -> {
+        onLoop(() -> {
             pools.ready(id, address, 0);
             return null;
         });
     }
 
-    /** A write for that cache server. On the event loop. */
-    Exchange ask(String id, long to, double within) {
+    /** Submits a write for that cache server. On the event loop. */
+    Exchange submit(String id, long to, double within) {
         server = to;
         startWithin = within;
         try {
@@ -206,51 +211,51 @@
         }
     }
 
-    Exchange ask(String id) throws Exception {
-        return on(() -> ask(id, 1, Double.POSITIVE_INFINITY));
+    Exchange submit(String id) throws Exception {
+        return onLoop(() -> submit(id, 1, Double.POSITIVE_INFINITY));
     }
 
     Api.Outcome nextOutcome() throws InterruptedException {
         return nextEnd().outcome();
     }
 
-    End nextEnd() throws InterruptedException {
-        End end = ends.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+    AttemptEnd nextEnd() throws InterruptedException {
+        AttemptEnd end = ends.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         if (end == null) {
-            throw new AssertionError("no attempt ended");
+            throw new AssertionError("no attempt ended in time");
         }
         return end;
     }
 
-    /** All that ended since this was asked last. */
-    List<End> ended() {
-        List<End> all = new ArrayList<>();
+    /** All attempts that ended since the last call. */
+    List<AttemptEnd> takeEnds() {
+        List<AttemptEnd> all = new ArrayList<>();
         ends.drainTo(all);
         return all;
     }
 
-    /** Outcomes that nobody has taken. */
-    int endsLeft() {
+    /** Number of outcomes not taken yet. */
+    int pendingEnds() {
         return ends.size();
     }
 
     long counter(String name) throws Exception {
-        return on(() -> {
+        return onLoop(() -> {
             AtomicLong found = new AtomicLong(-1);
             pools.count((key, value) -> found.set(key.equals(name) ? value : found.get()));
             return found.get();
         });
     }
 
-    /** Asks once on a link of its own and sees it answered: the link rests from then on. */
-    Conversation rested(Cache cache, String id) throws Exception {
-        ask(id);
-        Conversation c = cache.accept();
+    /** Sends one request on a new link and answers it, so that the link is idle afterwards. */
+    CacheConnection idleConnection(Cache cache, String id) throws Exception {
+        submit(id);
+        CacheConnection c = cache.accept();
         c.answer(c.nextId());
         if (nextOutcome() != Api.Outcome.OK) {
-            throw new AssertionError("not answered");
+            throw new AssertionError("request was not answered");
         }
-        pass(0.01);
+        advance(0.01);
         return c;
     }
 
@@ -259,7 +264,7 @@
         loop.parent().shutdownGracefully(0, WAIT_MS, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** Sends each request once to the server that the test named, and gives up after that. */
+    /** Sends each request once, to the server chosen by the test, and fails the request if that attempt does. */
     private final class Module extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request request) {
@@ -283,7 +288,7 @@
             for (float value : report) {
                 values.add(value);
             }
-            ends.add(new End(request, attempt, outcome, values));
+            ends.add(new AttemptEnd(request, attempt, outcome, values));
             if (!finished) {
                 host.fail(request);
             }
