--- a/router/src/main/java/stagepier/client/AnswerBytes.java
+++ b/router/src/main/java/stagepier/client/AnswerBytes.java
@@ -5,30 +5,30 @@
 import stagepier.memcache.Protocol;
 import stagepier.memcache.RingBuffer;
 
-/** The bytes of one answer on their way into a link's ring, which may hold less than the whole of it at a time. */
+/** The bytes of one answer while they are moved into a link's ring buffer, which may be smaller than the answer. */
 final class AnswerBytes {
-    /** Takes what it has room for of an array, from an index on, and returns how much. */
+    /** Copies bytes of an array, starting at an index, as far as there is room; returns the number of bytes copied. */
     interface Sink {
         int put(byte[] bytes, int from);
 
-        /** Takes what one gives, as far as there is room, and returns how much. */
-        int put(ToIntFunction<RingBuffer> giver);
+        /** Takes bytes from a supplier as far as there is room; returns the number of bytes taken. */
+        int put(ToIntFunction<RingBuffer> supplier);
     }
 
     private final byte[][] parts;
-    /** What comes by and by between the line and the line end, or null. */
+    /** The value that is streamed between the first line and the line end, or null. */
     private final ValueFlow flow;
 
     private final int length;
     private int part;
     private int at;
 
-    /** A line alone. */
+    /** An answer of one line. */
     AnswerBytes(byte[] line) {
         this(line, (byte[]) null);
     }
 
-    /** @param value what follows the line, with a line end of its own, or null */
+    /** @param value the value that follows the line, without its line end, or null */
     AnswerBytes(byte[] line, byte[] value) {
         flow = null;
         parts = value == null ? new byte[][] {line} : new byte[][] {line, value, Protocol.LINE_END};
@@ -39,33 +39,33 @@
         length = sum;
     }
 
-    /** A line, then a value that comes by and by, with its line end. */
+    /** A line followed by a streamed value and its line end. */
     AnswerBytes(byte[] line, ValueFlow value) {
         flow = value;
         parts = new byte[][] {line, Protocol.LINE_END};
         length = line.length;
     }
 
-    /** The value that comes by and by, or null. */
+    /** The streamed value, or null. */
     ValueFlow flow() {
         return flow;
     }
 
     /** Whether a byte of it has been moved. */
-    boolean isBegun() {
+    boolean isStarted() {
         return part > 0 || at > 0;
     }
 
-    /** Bytes that it holds. */
+    /** Number of bytes held in memory. */
     int length() {
         return length;
     }
 
-    /** Moves on as far as there is room; returns whether that was all. */
+    /** Moves bytes as far as there is room; returns whether all of them have been moved. */
     boolean moveTo(Sink sink) {
         while (part < parts.length) {
             if (flow != null && part == 1 && !flow.isComplete()) {
-                // What ends it is written once it is known to be good to its end.
+                // The line end is written only once the value is known to be valid to its end.
                 sink.put(flow::moveTo);
                 return false;
             }
--- a/router/src/main/java/stagepier/client/ClientDrain.java
+++ b/router/src/main/java/stagepier/client/ClientDrain.java
@@ -13,121 +13,122 @@
 import stagepier.tasks.GuardedTask;
 
 /**
- * Sends clients away while a drain is on. Follows the state of the {@link Drain}, not the calls that change it: whatever brought a drain
- * about, and whenever that was, links are closed as its phase says until it ends. On the event loop.
+ * Closes client links during a drain. It acts on the state of the {@link Drain} rather than on the calls that change
+ * it: whatever started the drain, and whenever, links are closed as the phase requires until the drain ends. Runs on
+ * the event loop.
  */
 final class ClientDrain {
-    /** Links are looked through so often. */
-    private static final long LOOK_MS = 5;
-    /** Time limits are longer by this, in seconds. */
-    private static final double SLACK = 0.05;
+    /** Interval between two checks of all links. */
+    private static final long CHECK_INTERVAL_MS = 5;
+    /** In seconds. Tolerance that is added to the time limit before the check. */
+    private static final double CHECK_TOLERANCE = 0.05;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Drain drain;
     private final Collection<ClientLink> links;
-    private final DoubleConsumer acceptLast;
+    private final DoubleConsumer acceptRemaining;
     private final InvariantMonitor invariants;
-    private final GuardedTask step;
-    /** The end of the time of a drain that was checked last. */
-    private double checked = Double.NEGATIVE_INFINITY;
+    private final GuardedTask checkTask;
+    /** Deadline of the last drain that was checked. */
+    private double checkedDeadline = Double.NEGATIVE_INFINITY;
 
-    private boolean looking;
+    private boolean checking;
     /** In microseconds. */
-    private long nextLook;
+    private long nextCheckMicros;
 
     /**
-     * @param links      all that there are, as they come and go
-     * @param acceptLast accepts who waits to be accepted by a process that is about to end
+     * @param links all client links, a live view
+     * @param acceptRemaining accepts the connections that still wait in the backlog when the process is about to end
      */
     ClientDrain(
             EventLoop loop,
             Clock clock,
             Drain drain,
             Collection<ClientLink> links,
-            DoubleConsumer acceptLast,
+            DoubleConsumer acceptRemaining,
             InvariantMonitor invariants) {
         this.loop = loop;
         this.clock = clock;
         this.drain = drain;
         this.links = links;
-        this.acceptLast = acceptLast;
+        this.acceptRemaining = acceptRemaining;
         this.invariants = invariants;
-        step = new GuardedTask("look through the links of a drain", () -> sendAway(clock.now()));
-        drain.addListener((from, to) -> follow());
+        checkTask = new GuardedTask("check of client links during a drain", () -> closeLinks(clock.now()));
+        drain.addListener((from, to) -> onStateChanged());
     }
 
-    /** Does what the state of the drain asks for; harmless at any time. */
-    void follow() {
-        if (!drain.isOn()) {
-            links.forEach(ClientLink::stay);
-        } else if (!looking) {
-            looking = true;
-            look();
+    /** Applies the current state of the drain; may be called at any time. */
+    void onStateChanged() {
+        if (!drain.isDraining()) {
+            links.forEach(ClientLink::cancelDrain);
+        } else if (!checking) {
+            checking = true;
+            check();
         }
     }
 
-    /** Looks through the links once and, while the drain is on, again. */
-    private void look() {
-        looking = drain.isOn();
-        if (!looking) {
+    /** Checks all links once, and again after an interval while the drain is on. */
+    private void check() {
+        checking = drain.isDraining();
+        if (!checking) {
             return;
         }
-        nextLook = TimeUnit.MILLISECONDS.toMicros(LOOK_MS);
-        step.run();
-        loop.schedule(this::look, nextLook, TimeUnit.MICROSECONDS);
+        nextCheckMicros = TimeUnit.MILLISECONDS.toMicros(CHECK_INTERVAL_MS);
+        checkTask.run();
+        loop.schedule(this::check, nextCheckMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Closes what the phase allows. */
-    private void sendAway(double now) {
-        checkThatAllAreGone(now);
+    /** Closes the links that the phase allows to close. */
+    private void closeLinks(double now) {
+        checkAllClosed(now);
         if (drain.isEndingNow(now)) {
-            acceptLast.accept(now);
+            acceptRemaining.accept(now);
         }
         if (drain.closesAllLinks(now)) {
-            settled(now).forEach(link -> ClientListener.act(link, ClientLink::endTaking));
+            establishedLinks(now).forEach(link -> ClientListener.runGuarded(link, ClientLink::closeUnlessOwed));
         } else if (drain.phase(now) == Drain.Phase.LAST) {
-            settled(now).forEach(link -> ClientListener.act(link, ClientLink::finish));
-        } else if (drain.phase(now) == Drain.Phase.LEAVE && sendOneAway(now)) {
-            nextLook = (long) (drain.nextCloseIn(now, links.size()) * 1e6);
+            establishedLinks(now).forEach(link -> ClientListener.runGuarded(link, ClientLink::rejectLaterCommands));
+        } else if (drain.phase(now) == Drain.Phase.CLOSE_IDLE && closeOneLink(now)) {
+            nextCheckMicros = (long) (drain.nextCloseIn(now, links.size()) * 1e6);
         }
     }
 
-    /** Once for each drain, at the end of its time. */
-    private void checkThatAllAreGone(double now) {
+    /** Checks once per drain, after its deadline, that no link is still held. */
+    private void checkAllClosed(double now) {
         double idleCloseDeadline = drain.idleCloseDeadline();
-        if (now < idleCloseDeadline + SLACK || checked == idleCloseDeadline) {
+        if (now < idleCloseDeadline + CHECK_TOLERANCE || checkedDeadline == idleCloseDeadline) {
             return;
         }
-        checked = idleCloseDeadline;
-        for (ClientLink link : settled(now)) {
+        checkedDeadline = idleCloseDeadline;
+        for (ClientLink link : establishedLinks(now)) {
             invariants.check(
                     Invariant.GONE_BY_END_OF_DRAIN,
                     !link.isHeldPast(idleCloseDeadline),
-                    () -> drain.state() + ", a link that is " + link.behaviour());
+                    () -> drain.state() + ", link behaviour " + link.behaviour());
         }
     }
 
-    /** All links but those that have just come: the first request is on the way. */
-    private List<ClientLink> settled(double now) {
-        return links.stream().filter(link -> !link.isFresh(now)).toList();
+    /** All links except new ones, whose first request may be on its way. */
+    private List<ClientLink> establishedLinks(double now) {
+        return links.stream().filter(link -> !link.isNew(now)).toList();
     }
 
     /**
-     * Closes one idle link or, if none is idle, has one close after its next answer; returns whether there was one. Guards against
-     * closing on a request that has just come: of each it is looked whether something has come right before it is closed, and all
-     * sockets are read between one and the next.
+     * Closes one idle link or, if none is idle, marks one to be closed after its next answer; returns whether there was
+     * one. Only one link is closed per check, and its socket is read right before, so that a request that has just
+     * arrived is not lost: all sockets are read between one close and the next.
      */
-    private boolean sendOneAway(double now) {
+    private boolean closeOneLink(double now) {
         List<ClientLink> all = List.copyOf(links);
-        return all.stream().anyMatch(link -> succeeds(link, one -> one.leaveIfIdle(now)))
-                || all.stream().anyMatch(link -> succeeds(link, one -> one.leaveWhenIdle(now)));
+        return all.stream().anyMatch(link -> tryOn(link, one -> one.closeIfIdleForDrain(now)))
+                || all.stream().anyMatch(link -> tryOn(link, one -> one.closeAfterAnswer(now)));
     }
 
-    /** The same as the action says; no where it fails. */
-    private static boolean succeeds(ClientLink link, Predicate<ClientLink> action) {
+    /** Returns the result of the action, or false if the action fails. */
+    private static boolean tryOn(ClientLink link, Predicate<ClientLink> action) {
         boolean[] done = new boolean[1];
-        ClientListener.act(link, one -> done[0] = action.test(one));
+        ClientListener.runGuarded(link, one -> done[0] = action.test(one));
         return done[0];
     }
 }
--- a/router/src/main/java/stagepier/client/ClientLink.java
+++ b/router/src/main/java/stagepier/client/ClientLink.java
@@ -18,32 +18,40 @@
 import stagepier.overload.ConnectionSlots.Behaviour;
 
 /**
- * A client's connection: commands in, answers out in the order of the commands.
+ * A client's connection. Commands are read from it, and answers are written to it in the order of the commands.
  *
- * <p>The end of the client's stream means that it has gone, as the protocol page says of a client that closes its connection: a
- * FIN does not tell whether only the sending was ended, so what is open for it is given up. The link reads on for that end
- * while it may take no more commands, up to a small bound. When the link itself ends in order it lingers, so that the last
- * answer arrives whole.
+ * <p>The end of the client's stream is treated as a closed connection, as the protocol documentation defines it: a FIN
+ * does not tell whether the client only shut down its sending side, so its pending requests are given up. The link
+ * keeps reading up to a small limit while it may take no more commands, in order to detect that end. When the link
+ * itself closes in an orderly way, it lingers, so that the last answer arrives completely.
  */
 final class ClientLink extends Link {
-    /** Commands without a written answer from which no more are read. */
-    private static final int PIPELINED_MOST = 128;
-    /** Bytes of answers that wait for the client to read from which no more commands are read. */
-    private static final int ANSWERS_MOST = 2 * Protocol.LARGEST_VALUE;
-    /** Who sends a command in pieces sends the next one within so many seconds. */
-    private static final double PIECES_WITHIN = 0.8;
-    /** A link on which nothing was said yet is not sent away before this, in seconds: its first request is on the way. */
-    private static final double FIRST_WORD_MOST = 0.4;
-    /** A request that came within so many seconds before the end of a drain's time may not be open at that time. */
-    private static final double ASKED_LATELY = 2;
-    /** Bytes of a command that a link may always hold; for more there must be memory. */
-    private static final int ALWAYS_HELD = 4096;
-    /** Who was seen to be there within so many seconds is there. */
-    private static final double LOOKED_LATELY = 0.02;
-
-    private static final String NOT_FINISHED = "CLIENT_ERROR command not finished in time";
-    /** To whom is turned away because this process ends: another router serves at once, this one never. */
-    private static final String TURNED_AWAY = "SERVER_ERROR busy 1";
+    /** Number of commands without a written answer above which no further commands are read. */
+    private static final int PIPELINE_MAX = 128;
+    /** Bytes of answers that the client has not read, above which no further commands are read. */
+    private static final int UNREAD_ANSWER_BYTES_MAX = 2 * Protocol.LARGEST_VALUE;
+    /** In seconds. A client that sends a command in pieces is expected to send the next piece within this time. */
+    private static final double PIECE_INTERVAL_MAX = 0.8;
+    /**
+     * In seconds. A drain does not close a link without any command before this age, because its first request may be
+     * on its way.
+     */
+    private static final double FIRST_COMMAND_GRACE = 0.4;
+    /**
+     * In seconds. A request that arrived within this time before the end of a drain must have been answered by that
+     * end.
+     */
+    private static final double RECENT_REQUEST = 2;
+    /** Bytes of a command that a link may hold in any case; for more, the memory limit applies. */
+    private static final int MIN_READ_AHEAD = 4096;
+    /** In seconds. A client that was found connected within this time is assumed to be still connected. */
+    private static final double CONNECTED_CHECK_VALID = 0.02;
+
+    private static final String COMMAND_TIMED_OUT = "CLIENT_ERROR command not finished in time";
+    /**
+     * Rejection while this process ends: another router can serve the request immediately, but this process will not.
+     */
+    private static final String REJECTED_ENDING = "SERVER_ERROR busy 1";
 
     private final AnswerBytes.Sink sink = new AnswerBytes.Sink() {
         @Override
@@ -52,145 +60,157 @@
         }
 
         @Override
-        public int put(ToIntFunction<RingBuffer> giver) {
-            return queue(giver);
+        public int put(ToIntFunction<RingBuffer> supplier) {
+            return queue(supplier);
         }
     };
 
-    /** The place of one answer in the order. */
-    private final class Slot implements ReplyListener {
+    /** The position of one answer in the order of commands. */
+    private final class PendingAnswer implements ReplyListener {
         private Exchange exchange;
         private AnswerBytes answer;
 
         @Override
         public void answered(Exchange x, Reply reply) {
-            settle(this, x, reply);
+            onReply(this, x, reply);
         }
 
         @Override
         public boolean isConnected() {
-            return lookIfThere();
+            return checkConnected();
         }
     }
 
     private final ClientListener owner;
-    private final ArrayDeque<Slot> slots = new ArrayDeque<>();
+    private final ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
     private final double openedAt;
-    /** When the last thing happened that shows a client at work: a command taken or bytes of an answer read. */
-    private double activeAt;
-    /** When the command that has come in part began; NaN where there is none. */
-    private double partSince = Double.NaN;
-    /** When bytes came last. */
-    private double bytesAt;
-    /** When its socket was read last and nothing was there; before that, or with more behind what was read, never. */
-    private double emptyAt = Double.NEGATIVE_INFINITY;
-
-    private boolean asked;
-    /** When a request was taken last; before that, never. */
-    private double askedAt = Double.NEGATIVE_INFINITY;
-    /** Requests that went to the module. */
-    private int requests;
-    /** When it can have connected at the earliest: it may have waited in the backlog. */
-    private final double connectedAt;
-    /** When the first bytes came that have not been taken yet, less the time that they lay unread; NaN for none. */
-    private double cameAt = Double.NaN;
-    /** It has bytes for which the listener will give it its turn. */
-    private boolean isWaiting;
-    /** Memory of which the listener knows. */
-    private int counted;
-
-    /** Why it takes no more commands and closes once all that was taken has been answered; null while it does not. */
-    private CloseReason leavesFor;
-    /** What comes from now on is turned away. */
-    private boolean ending;
-    /** Closes as soon as an answer is written and nothing else is open on it. */
-    private boolean leavesWhenIdle;
+    /** Time of the last client activity: a command was taken, or bytes of an answer were read. */
+    private double lastActiveAt;
+    /** Time at which the first part of an incomplete command arrived; NaN if there is none. */
+    private double partialSince = Double.NaN;
+    /** Time at which bytes last arrived. */
+    private double lastBytesAt;
+    /**
+     * Time at which the socket was last found empty; negative infinity before that and whenever bytes have arrived
+     * since.
+     */
+    private double socketEmptyAt = Double.NEGATIVE_INFINITY;
+
+    private boolean hadCommand;
+    /** Time at which the last request was taken; negative infinity before the first one. */
+    private double lastRequestAt = Double.NEGATIVE_INFINITY;
+    /** Number of requests that were passed to the routing module. */
+    private int requestCount;
+    /** Earliest time at which the client can have connected, since the connection may have waited in the backlog. */
+    private final double earliestConnectAt;
+    /**
+     * Earliest time at which the first of the bytes not yet taken can have arrived, allowing for the time that they lay
+     * unread in the socket; NaN if there are none.
+     */
+    private double arrivedAt = Double.NaN;
+    /** Whether it has unprocessed bytes and is queued at the listener. */
+    private boolean isQueued;
+    /** Number of buffer bytes that the listener has accounted for. */
+    private int accountedBytes;
+
+    /** Reason to close once every command taken has been answered; null while the link takes commands. */
+    private CloseReason closingReason;
+    /** Whether further requests are rejected. */
+    private boolean rejecting;
+    /** Whether the link closes as soon as an answer is written and no other command is pending. */
+    private boolean closesAfterAnswer;
 
     private int answerBytes;
-    /** Slots whose value comes by and by. */
+    /** Number of pending answers with a streamed value. */
     private int flows;
 
-    ClientLink(ClientListener owner, Channel channel, double connectedAt) {
+    ClientLink(ClientListener owner, Channel channel, double earliestConnectAt) {
         this.owner = owner;
-        this.connectedAt = connectedAt;
+        this.earliestConnectAt = earliestConnectAt;
         openedAt = owner.now();
-        activeAt = openedAt;
+        lastActiveAt = openedAt;
         attach(channel);
     }
 
     @Override
     protected void onUp() {
-        owner.opened(this);
+        owner.onOpened(this);
     }
 
     @Override
     protected boolean wantsInput() {
-        return unread() < ALWAYS_HELD || mayTake() && owner.hasMemory();
+        return unread() < MIN_READ_AHEAD || acceptsCommands() && owner.hasMemory();
     }
 
-    /** Behind commands that may not be taken yet no more is read than a link may always hold. */
+    /** Limits the bytes that are held behind commands that may not be taken yet. */
     @Override
     protected int readMost() {
-        return mayTake() ? super.readMost() : ALWAYS_HELD - unread();
+        return acceptsCommands() ? super.readMost() : MIN_READ_AHEAD - unread();
     }
 
-    private boolean mayTake() {
-        // Behind a value that comes by and by nothing is taken: if it breaks off, the connection has to be closed.
-        return flows == 0 && slots.size() < PIPELINED_MOST && answerBytes < ANSWERS_MOST && leavesFor == null;
+    private boolean acceptsCommands() {
+        // No command is taken behind a streamed value: if the value breaks off, the connection has to be closed.
+        return flows == 0
+                && pending.size() < PIPELINE_MAX
+                && answerBytes < UNREAD_ANSWER_BYTES_MAX
+                && closingReason == null;
     }
 
     @Override
     protected void onInput(RingBuffer bytes) throws MalformedException {
-        while (mayTake() && !isClosed()) {
+        while (acceptsCommands() && !isClosed()) {
             Command command = CommandParser.next(bytes);
             if (command == null) {
                 break;
             }
-            asked = true;
-            activeAt = owner.now();
-            partSince = Double.NaN;
-            take(command);
+            hadCommand = true;
+            lastActiveAt = owner.now();
+            partialSince = Double.NaN;
+            handle(command);
         }
-        if (mayTake()) {
-            // What is left is part of a command, whose time begins with its last byte.
-            cameAt = Double.NaN;
+        if (acceptsCommands()) {
+            // The remaining bytes are part of a command, whose time starts with its last byte.
+            arrivedAt = Double.NaN;
         }
         if (unread() == 0) {
-            partSince = Double.NaN;
-        } else if (mayTake() && Double.isNaN(partSince)) {
-            partSince = owner.now();
+            partialSince = Double.NaN;
+        } else if (acceptsCommands() && Double.isNaN(partialSince)) {
+            partialSince = owner.now();
         }
     }
 
-    /** What it does, for {@link ConnectionSlots} to judge. */
+    /** The current behaviour of the client, as input to {@link ConnectionSlots}. */
     Behaviour behaviour() {
-        if (isWaiting) {
+        if (isQueued) {
             return Behaviour.OWED;
         }
-        if (!slots.isEmpty() || !nothingQueued()) {
-            return flows > 0 && nothingQueued() || !slots.stream().allMatch(s -> s.answer != null)
+        if (!pending.isEmpty() || !nothingQueued()) {
+            return flows > 0 && nothingQueued() || !pending.stream().allMatch(s -> s.answer != null)
                     ? Behaviour.OWED
                     : flows > 0 ? Behaviour.READING : Behaviour.UNREAD;
         }
-        if (!Double.isNaN(partSince)) {
-            return owner.now() - bytesAt < PIECES_WITHIN ? Behaviour.SLOW : Behaviour.PART;
+        if (!Double.isNaN(partialSince)) {
+            return owner.now() - lastBytesAt < PIECE_INTERVAL_MAX ? Behaviour.SLOW : Behaviour.PART;
         }
-        return !asked
+        return !hadCommand
                 ? Behaviour.SILENT
-                : requests == 0 ? Behaviour.PROBE : requests == 1 ? Behaviour.ONCE : Behaviour.REGULAR;
+                : requestCount == 0 ? Behaviour.PROBE : requestCount == 1 ? Behaviour.ONCE : Behaviour.REGULAR;
     }
 
-    /** Since when it has done so. */
+    /** Time since which it shows this behaviour. */
     double since(Behaviour behaviour) {
         return switch (behaviour) {
-            case PART, SLOW -> partSince;
+            case PART, SLOW -> partialSince;
             case SILENT -> openedAt;
-            default -> activeAt;
+            default -> lastActiveAt;
         };
     }
 
-    /** Gives up its place, unless it has just asked. Who is in the middle of a command is told so. Returns whether it did. */
-    boolean giveUp(Behaviour behaviour) {
+    /**
+     * Closes the link to free its slot, unless a command has just arrived. A client in the middle of a command gets an
+     * error first. Returns whether the slot is given up.
+     */
+    boolean giveUpSlot(Behaviour behaviour) {
         if (isClosed()) {
             return false;
         }
@@ -198,158 +218,159 @@
             if (isIdle()) {
                 return closeIfIdle(CloseReason.SLOT_GIVEN_UP);
             }
-            // It does not read what it was given.
+            // The client does not read its answers.
             abort(CloseReason.SLOT_GIVEN_UP);
-        } else if (leavesFor == null) {
-            owner.malformed();
-            leavesFor = CloseReason.SLOT_GIVEN_UP;
-            say(NOT_FINISHED);
+        } else if (closingReason == null) {
+            owner.onMalformed();
+            closingReason = CloseReason.SLOT_GIVEN_UP;
+            replyLine(COMMAND_TIMED_OUT);
         }
         return true;
     }
 
-    /** Ends its lingering. */
-    void cutShort() {
+    /** Ends the lingering close immediately. */
+    void endLingering() {
         abort(CloseReason.SLOT_GIVEN_UP);
     }
 
-    /** A fault of this program has shown on it: nothing that is done with it can be relied on. */
+    /** Aborts the link after an internal error, since its state is no longer reliable. */
     void fail() {
         abort(CloseReason.FAULT);
     }
 
-    /** Reads on if it had stopped for want of memory. */
+    /** Continues reading if it had stopped because of the memory limit. */
     void resume() {
         readOn();
     }
 
-    /** Its commands are taken when all links have been read: answers of cache servers go first. */
+    /** Commands are processed after all links have been read, so that answers of cache servers are processed first. */
     @Override
     protected void onBytes() {
         double now = owner.now();
-        bytesAt = now;
-        emptyAt = Double.NEGATIVE_INFINITY;
-        double came = owner.cameAt(now);
-        if (Double.isNaN(cameAt) && mayTake()) {
-            cameAt = asked ? came : Math.min(came, connectedAt);
+        lastBytesAt = now;
+        socketEmptyAt = Double.NEGATIVE_INFINITY;
+        double arrival = owner.earliestArrival(now);
+        if (Double.isNaN(arrivedAt) && acceptsCommands()) {
+            arrivedAt = hadCommand ? arrival : Math.min(arrival, earliestConnectAt);
         }
-        if (!isWaiting) {
-            isWaiting = true;
-            owner.arrived(this);
+        if (!isQueued) {
+            isQueued = true;
+            owner.onBytes(this);
         }
     }
 
-    /** Takes what has come. Called by the listener in its turn. */
-    void workOff() {
-        isWaiting = false;
+    /** Processes the bytes that have arrived; called by the listener. */
+    void processQueued() {
+        isQueued = false;
         digest();
         readOn();
     }
 
-    /** Change of the memory that its ring takes since this was asked last. */
-    int grown() {
+    /** Returns the change in buffer memory since the last call. */
+    int heldBytesChange() {
         int held = isGivenBack() ? 0 : heldBytes();
-        int grown = held - counted;
-        counted = held;
-        return grown;
+        int heldBytesChange = held - accountedBytes;
+        accountedBytes = held;
+        return heldBytesChange;
     }
 
-    private void take(Command command) {
-        owner.took(command.kind());
+    private void handle(Command command) {
+        owner.onCommand(command.kind());
         switch (command.kind()) {
             case GET, SET -> {
                 String rejection = owner.host().rejection(command);
                 if (rejection != null) {
-                    say("CLIENT_ERROR " + rejection);
-                } else if (ending || owner.rejectsRequests()) {
-                    owner.turnedAway(command);
-                    say(TURNED_AWAY);
+                    replyLine("CLIENT_ERROR " + rejection);
+                } else if (rejecting || owner.rejectsRequests()) {
+                    owner.onRejected(command);
+                    replyLine(REJECTED_ENDING);
                 } else {
-                    ask(command);
+                    submit(command);
                 }
             }
-            case ALIVE -> say(owner.alive());
-            case STATS -> say(owner.stats());
-            case QUIT -> leave(CloseReason.DONE);
-            case BAD -> say("CLIENT_ERROR " + command.words().get(0));
-            case UNKNOWN -> say("ERROR");
+            case ALIVE -> replyLine(owner.aliveAnswer());
+            case STATS -> replyLine(owner.statsAnswer());
+            case QUIT -> closeWhenAnswered(CloseReason.DONE);
+            case BAD -> replyLine("CLIENT_ERROR " + command.words().get(0));
+            case UNKNOWN -> replyLine("ERROR");
         }
     }
 
-    private void ask(Command command) {
+    private void submit(Command command) {
         owner.invariants().check(Invariant.SERVED_ONLY_AFTER_START, owner.hasStarted(), () -> "id=" + command.id());
-        askedAt = owner.now();
-        Slot slot = new Slot();
-        slots.add(slot);
-        requests++;
-        // The module may answer at once, before take returns.
-        Exchange exchange = owner.host().take(slot, command, Double.isNaN(cameAt) ? owner.now() : cameAt);
-        if (slot.answer == null) {
-            slot.exchange = exchange;
+        lastRequestAt = owner.now();
+        PendingAnswer entry = new PendingAnswer();
+        pending.add(entry);
+        requestCount++;
+        // The module may answer synchronously, before take returns.
+        Exchange exchange = owner.host().take(entry, command, Double.isNaN(arrivedAt) ? owner.now() : arrivedAt);
+        if (entry.answer == null) {
+            entry.exchange = exchange;
         }
     }
 
     /**
-     * Whether the client is there, by what has come by this moment. A connection that it has ended for its own sending counts as
-     * ended: that is what a client's close looks like from here. Guards against a request that lay unread while its client went:
-     * the end of the stream lies right behind it, and an attempt would begin before that is read.
+     * Whether the client is still connected, judged by all input up to this moment. A connection whose client has shut
+     * down its sending side counts as closed, because a client's close looks the same from here. The socket is read
+     * first: if the client closed while its request lay unread, the end of the stream follows the request directly, and
+     * an attempt would otherwise start before it is read.
      */
-    private boolean lookIfThere() {
+    private boolean checkConnected() {
         double now = owner.now();
-        while (now - emptyAt > LOOKED_LATELY && !isClosed()) {
-            emptyAt = now;
+        while (now - socketEmptyAt > CONNECTED_CHECK_VALID && !isClosed()) {
+            socketEmptyAt = now;
             readNow();
         }
         return !isClosed();
     }
 
-    private void settle(Slot slot, Exchange exchange, Reply reply) {
-        slot.exchange = null;
+    private void onReply(PendingAnswer entry, Exchange exchange, Reply reply) {
+        entry.exchange = null;
         if (reply.flow() != null) {
             flows++;
-            reply.flow().onChange(() -> flowed(slot));
+            reply.flow().onChange(() -> onFlowChanged(entry));
         }
-        answer(slot, ReplyEncoder.encode(exchange.command(), reply));
+        setAnswer(entry, ReplyEncoder.encode(exchange.command(), reply));
     }
 
-    /** There is more of a value, or it has ended. */
-    private void flowed(Slot slot) {
+    /** Handles new bytes or the end of a streamed value. */
+    private void onFlowChanged(PendingAnswer entry) {
         if (isClosed()) {
             return;
         }
-        if (!slot.answer.flow().isFailed()) {
+        if (!entry.answer.flow().isFailed()) {
             pump();
-        } else if (slot.answer.isBegun()) {
-            // Only so can the client see that it is not whole.
+        } else if (entry.answer.isStarted()) {
+            // Only a closed connection tells the client that the value is incomplete.
             close(CloseReason.VALUE_BROKEN);
         } else {
             flows--;
-            answerBytes -= slot.answer.length();
-            answer(slot, ReplyEncoder.line(ReplyEncoder.FAILED));
+            answerBytes -= entry.answer.length();
+            setAnswer(entry, ReplyEncoder.line(ReplyEncoder.FAILED));
         }
     }
 
-    private void say(String text) {
-        Slot slot = new Slot();
-        slots.add(slot);
-        answer(slot, ReplyEncoder.line(text));
+    private void replyLine(String text) {
+        PendingAnswer entry = new PendingAnswer();
+        pending.add(entry);
+        setAnswer(entry, ReplyEncoder.line(text));
     }
 
-    private void answer(Slot slot, AnswerBytes bytes) {
-        slot.answer = bytes;
+    private void setAnswer(PendingAnswer entry, AnswerBytes bytes) {
+        entry.answer = bytes;
         answerBytes += bytes.length();
         pump();
     }
 
     @Override
     protected void fill() {
-        for (Slot first = slots.peek(); first != null && first.answer != null; first = slots.peek()) {
+        for (PendingAnswer first = pending.peek(); first != null && first.answer != null; first = pending.peek()) {
             if (!first.answer.moveTo(sink)) {
                 return;
             }
             answerBytes -= first.answer.length();
             flows -= first.answer.flow() == null ? 0 : 1;
-            slots.remove();
+            pending.remove();
         }
     }
 
@@ -360,14 +381,14 @@
 
     @Override
     protected void onWritten() {
-        activeAt = owner.now();
-        if (leavesFor != null) {
-            leave(leavesFor);
+        lastActiveAt = owner.now();
+        if (closingReason != null) {
+            closeWhenAnswered(closingReason);
         } else {
-            // Room for more commands: those that wait in the ring first.
+            // There is room for more commands; those already in the ring buffer come first.
             digest();
             readOn();
-            if (ending || leavesWhenIdle && owner.sendsLinksAway()) {
+            if (rejecting || closesAfterAnswer && owner.closesIdleLinks()) {
                 closeIfIdle(CloseReason.DRAINED);
             }
         }
@@ -375,40 +396,43 @@
 
     @Override
     protected void onMalformed(MalformedException e) {
-        owner.malformed();
-        leavesFor = CloseReason.MALFORMED;
-        say("CLIENT_ERROR " + e.getMessage());
+        owner.onMalformed();
+        closingReason = CloseReason.MALFORMED;
+        replyLine("CLIENT_ERROR " + e.getMessage());
     }
 
-    /** Whether it is new and has said nothing yet. */
-    boolean isFresh(double now) {
-        return !asked && unread() == 0 && now - openedAt < FIRST_WORD_MOST;
+    /** Whether the link is new and has not received any byte. */
+    boolean isNew(double now) {
+        return !hadCommand && unread() == 0 && now - openedAt < FIRST_COMMAND_GRACE;
     }
 
-    /** Closes if nothing is open on it and nothing has come; returns whether it did. */
-    boolean leaveIfIdle(double now) {
-        return !isFresh(now) && closeIfIdle(CloseReason.DRAINED);
+    /** Closes the link if no command is pending and no bytes have arrived; returns whether it did. */
+    boolean closeIfIdleForDrain(double now) {
+        return !isNew(now) && closeIfIdle(CloseReason.DRAINED);
     }
 
     /**
-     * Closes right after an answer, unless more has come by then. Guards against a client that asks again so soon after each answer
-     * that a look at one moment or another never finds its link idle.
+     * Closes right after an answer, unless more bytes have arrived by then. A client that sends its next request
+     * immediately after each answer would never have an idle link at any single check.
      *
-     * @return whether it is to do so from now on, and was not before
+     * @return whether this call has changed the setting
      */
-    boolean leaveWhenIdle(double now) {
-        boolean first = !leavesWhenIdle && !isFresh(now);
-        leavesWhenIdle |= first;
+    boolean closeAfterAnswer(double now) {
+        boolean first = !closesAfterAnswer && !isNew(now);
+        closesAfterAnswer |= first;
         return first;
     }
 
-    /** The drain is over: goes on as before {@link #leaveWhenIdle} and {@link #finish}. */
-    void stay() {
-        leavesWhenIdle = false;
-        ending = false;
+    /** Reverts {@link #closeAfterAnswer} and {@link #rejectLaterCommands} when the drain is over. */
+    void cancelDrain() {
+        closesAfterAnswer = false;
+        rejecting = false;
     }
 
-    /** What has come by now is taken first; what comes later is never read as a command, and the client sees the end. */
+    /**
+     * Processes the bytes that have arrived before closing; bytes that arrive later are never read as a command, and
+     * the client sees the end of the connection.
+     */
     private boolean closeIfIdle(CloseReason reason) {
         if (isClosed() || !isIdle()) {
             return false;
@@ -422,71 +446,77 @@
     }
 
     private boolean isIdle() {
-        return slots.isEmpty() && nothingQueued() && unread() == 0 && !isWaiting;
+        return pending.isEmpty() && nothingQueued() && unread() == 0 && !isQueued;
     }
 
     /**
-     * Takes what has come by this moment; what comes after it is turned away, and the link closes as soon as nothing is open
-     * on it. Guards against requests that come while earlier ones are open, and would be closed upon unread.
+     * Takes the commands that have arrived up to this moment and rejects later ones; the link closes as soon as no
+     * command is pending. Requests that arrive while earlier ones are pending would otherwise lie unread when the link
+     * closes.
      */
-    void finish() {
-        if (!ending) {
+    void rejectLaterCommands() {
+        if (!rejecting) {
             readNow();
-            if (isWaiting) {
-                workOff();
+            if (isQueued) {
+                processQueued();
             }
-            ending = true;
+            rejecting = true;
         }
         if (!closeIfIdle(CloseReason.DRAINED) && !isClosed() && behaviour() == Behaviour.PART) {
-            giveUp(Behaviour.PART);
+            giveUpSlot(Behaviour.PART);
         }
     }
 
     /**
-     * Turns away what is there, and ends the link as soon as nothing is owed on it. Guards against a client that goes on sending, so
-     * that its link is never idle.
+     * Rejects what has arrived, and closes the link as soon as no answer is owed on it. Otherwise a client that sends
+     * continuously would keep its link from ever being idle.
      */
-    void endTaking() {
-        finish();
-        if (isWaiting) {
-            workOff();
+    void closeUnlessOwed() {
+        rejectLaterCommands();
+        if (isQueued) {
+            processQueued();
         }
-        if (isClosed() || leavesFor != null || isOwed()) {
+        if (isClosed() || closingReason != null || isAnswerOwed()) {
             return;
         }
         if (unread() > 0) {
-            leavesFor = CloseReason.DRAIN_TIME_OVER;
-            say(NOT_FINISHED);
+            closingReason = CloseReason.DRAIN_TIME_OVER;
+            replyLine(COMMAND_TIMED_OUT);
         } else {
-            leave(CloseReason.DRAIN_TIME_OVER);
+            closeWhenAnswered(CloseReason.DRAIN_TIME_OVER);
         }
     }
 
     /**
-     * Whether it is held as no link may be at the end of a drain's time: with nothing owed, though its client may be in the middle of a
-     * command, or with a request that was taken lately.
+     * Whether it is held longer than a drain allows at its deadline: either no answer is owed on it, even if the client
+     * is in the middle of a command, or the pending request was taken recently.
      */
     boolean isHeldPast(double idleCloseDeadline) {
-        if (isClosed() || openedAt >= idleCloseDeadline - FIRST_WORD_MOST) {
+        if (isClosed() || openedAt >= idleCloseDeadline - FIRST_COMMAND_GRACE) {
             return false;
         }
-        return isOwed() ? askedAt > idleCloseDeadline - ASKED_LATELY : slots.isEmpty() && nothingQueued();
+        return isAnswerOwed()
+                ? lastRequestAt > idleCloseDeadline - RECENT_REQUEST
+                : pending.isEmpty() && nothingQueued();
     }
 
-    /** Whether an answer is still to come, or to be passed on. */
-    private boolean isOwed() {
-        return flows > 0 || slots.stream().anyMatch(slot -> slot.answer == null);
+    /** Whether an answer is still pending or being streamed. */
+    private boolean isAnswerOwed() {
+        return flows > 0 || pending.stream().anyMatch(entry -> entry.answer == null);
     }
 
-    /** Takes no more commands; closes as soon as all that was taken has been answered. */
-    private void leave(CloseReason reason) {
-        leavesFor = reason;
-        if (slots.isEmpty() && nothingQueued()) {
+    /** Takes no more commands, and closes as soon as every command taken has been answered. */
+    private void closeWhenAnswered(CloseReason reason) {
+        closingReason = reason;
+        if (pending.isEmpty() && nothingQueued()) {
             close(reason);
         }
     }
 
-    /** What it does not read is not waited for; what it was given last has to arrive whole. */
+    /**
+     * Lingers only if all answers have been handed to the socket, so that the last one arrives completely. Does not
+     * wait for a client that leaves its answers unread.
+     */
     @Override
     protected boolean lingers() {
         return nothingQueued();
@@ -497,23 +527,23 @@
         owner.invariants()
                 .check(
                         Invariant.CLOSED_ONLY_WHEN_ANSWERED,
-                        !closeReason().isOwnChoice() || slots.stream().allMatch(slot -> slot.exchange == null),
+                        !closeReason().isOwnChoice() || pending.stream().allMatch(entry -> entry.exchange == null),
                         () -> "closed for " + closeReason());
-        for (Slot slot : slots) {
-            if (slot.exchange != null) {
-                owner.host().clientGone(slot.exchange);
-            } else if (slot.answer != null && slot.answer.flow() != null) {
-                slot.answer.flow().abandon();
+        for (PendingAnswer entry : pending) {
+            if (entry.exchange != null) {
+                owner.host().clientGone(entry.exchange);
+            } else if (entry.answer != null && entry.answer.flow() != null) {
+                entry.answer.flow().abandon();
             }
         }
-        slots.clear();
+        pending.clear();
         answerBytes = 0;
         flows = 0;
-        owner.closed(this);
+        owner.onClosed(this);
     }
 
     @Override
     protected void onGivenBack() {
-        owner.givenBack(this);
+        owner.onChannelClosed(this);
     }
 }
--- a/router/src/main/java/stagepier/client/ClientListener.java
+++ b/router/src/main/java/stagepier/client/ClientListener.java
@@ -31,30 +31,33 @@
 import stagepier.tasks.GuardedTask;
 
 /**
- * Accepts clients; owns the listening socket and knows all client links. Keeps them to a number of slots, so that
- * whatever clients do there are descriptors left for cache servers and discovery.
+ * Accepts clients; owns the listening socket and all client links. Limits the number of links to a number of slots, so
+ * that descriptors remain for cache servers and discovery, whatever clients do.
  */
 public final class ClientListener {
-    /** Links whose commands are taken in a row; then sockets are looked at again, for answers may have come. */
-    private static final int WORKED_OFF_IN_A_ROW = 32;
-    /** Memory that the buffers of all client links should stay under. */
-    private static final long BYTES_MOST = 8 << 20;
+    /**
+     * Number of links whose commands are processed in a row before the sockets are polled again, since answers may have
+     * arrived.
+     */
+    private static final int LINKS_PER_BATCH = 32;
+    /** Limit for the buffer memory of all client links, in bytes. */
+    private static final long BUFFER_BYTES_MAX = 8 << 20;
 
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    /** What becomes of single requests, at debug level. */
+    /** Logs the outcome of single requests at debug level. */
     private static final Logger REQUESTS = LoggerFactory.getLogger("stagepier.requests");
 
-    private static final double LOG_EVERY = 1;
-    /** With all slots taken a link lingers no longer than this, in seconds: those who wait for a slot come first. */
-    private static final double LINGERS_WHEN_FULL = 0.02;
-    /** For so long at the most, in seconds, connections are accepted after the last moment at which clients are served. */
-    private static final double LAST_ACCEPTED = 0.5;
+    private static final double LOG_INTERVAL = 1;
+    /** In seconds. Limit for lingering while all slots are taken, because waiting connections have priority. */
+    private static final double LINGER_WHEN_FULL_MAX = 0.02;
+    /** In seconds. Limit for accepting connections after the last moment at which clients are served. */
+    private static final double FINAL_ACCEPT_MAX = 0.5;
 
     private final ModuleHost host;
     private final Supplier<String> stats;
     private final Drain drain;
     private final Set<ClientLink> links = new LinkedHashSet<>();
-    /** Links that are closed for their clients and still hold a descriptor, with the times since when. */
+    /** Links that are closed for their clients but still hold a descriptor, with the times since when. */
     private final Map<ClientLink, Double> lingering = new LinkedHashMap<>();
 
     private final EventLoop loop;
@@ -62,27 +65,27 @@
     private final LoopDelay delay;
     private final ConnectionSlots slots;
     private final ListeningSocket socket;
-    private final ArrayDeque<ClientLink> arrived = new ArrayDeque<>();
-    private final long[] ended = new long[ConnectionSlots.Behaviour.values().length];
-    private final long[] closes = new long[CloseReason.values().length];
-    /** Since when clients are turned away; NaN before. */
-    private double lastSince = Double.NaN;
+    private final ArrayDeque<ClientLink> readyLinks = new ArrayDeque<>();
+    private final long[] slotsGivenUp = new long[ConnectionSlots.Behaviour.values().length];
+    private final long[] closesByReason = new long[CloseReason.values().length];
+    /** Time since which requests are rejected and the backlog is emptied; NaN before that. */
+    private double finalAcceptSince = Double.NaN;
 
     private ConnectionSlots.Availability level = ConnectionSlots.Availability.PLENTY;
-    private final GuardedTask slotsLook = new GuardedTask("look through the client links", this::look);
-    private boolean working;
-    private long held;
+    private final GuardedTask slotCheck = new GuardedTask("check of client link slots", this::checkSlots);
+    private boolean processing;
+    private long heldBytes;
     private double loggedAt = Double.NEGATIVE_INFINITY;
     private final long[] commands = new long[Command.Kind.values().length];
     private long opened;
     private long malformed;
-    private long turnedAway;
-    private long timesFull;
+    private long rejected;
+    private long timesSlotsFull;
 
     /**
-     * @param slots how many links there may be
-     * @param stats  the answer to {@code stats}, less its last line end
-     * @param drain  whether clients are to stay
+     * @param slots maximum number of links
+     * @param stats the answer to {@code stats}, without its last line end
+     * @param drain state of the drain, which decides when links are closed
      */
     public ClientListener(
             EventLoop loop,
@@ -96,79 +99,79 @@
         this.loop = loop;
         this.clock = clock;
         this.delay = delay;
-        this.slots = new ConnectionSlots(slots, BYTES_MOST);
+        this.slots = new ConnectionSlots(slots, BUFFER_BYTES_MAX);
         socket = new ListeningSocket(clock, this::adopt);
         this.host = host;
         this.stats = stats;
-        new ClientDrain(loop, clock, drain, links, this::acceptLast, host.invariants());
+        new ClientDrain(loop, clock, drain, links, this::acceptRemaining, host.invariants());
     }
 
-    /** How many connections are accepted in a row from now on. */
-    public void setAcceptBatch(int most) {
-        socket.batch(most);
+    /** Sets how many connections are accepted in a row. */
+    public void setAcceptBatch(int limit) {
+        socket.setBatchLimit(limit);
     }
 
-    /** Listens on a socket of its own. */
+    /** Listens on a socket of this process. */
     public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
         ChannelFuture up = socket.listen(group, address);
-        lookAgain();
+        scheduleSlotCheck();
         return up;
     }
 
     /**
-     * Accepts from a socket that listens already and is other processes' as well. It is never closed here: that would
-     * lead descriptors 0 to 2 to nowhere, and the log with them.
+     * Accepts connections from a listening socket that is shared with other processes. It is never closed here: closing
+     * it would redirect the descriptors 0 to 2, and with them the log, to nowhere.
      */
-    public ChannelFuture listen(EventLoopGroup group, ServerSocketChannel passed) {
-        ChannelFuture up = socket.listen(group, passed);
-        lookAgain();
+    public ChannelFuture listen(EventLoopGroup group, ServerSocketChannel existing) {
+        ChannelFuture up = socket.listen(group, existing);
+        scheduleSlotCheck();
         return up;
     }
 
-    /** Serves a client on a channel that is being set up. */
+    /** Serves a client on a channel that is being initialized. */
     public void adopt(Channel channel) {
         new ClientLink(this, channel, socket.earliestArrival());
     }
 
-    private void lookAgain() {
+    private void scheduleSlotCheck() {
         loop.schedule(
                 () -> {
-                    slotsLook.run();
-                    lookAgain();
+                    slotCheck.run();
+                    scheduleSlotCheck();
                 },
                 (long) (ConnectionSlots.checkInterval(level) * 1e6),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** Gives back the slots of those who make no use of them. */
-    private void look() {
+    /** Closes links that hold their slots for too long without using them. */
+    private void checkSlots() {
         double now = clock.now();
-        ConnectionSlots.Availability was = level;
-        level = slots.level(now, slotsTaken(), held);
-        double late = delay.unreadFor(now);
-        if (level != was || level != ConnectionSlots.Availability.PLENTY) {
+        ConnectionSlots.Availability previous = level;
+        level = slots.level(now, slotsTaken(), heldBytes);
+        double inputDelay = delay.unreadFor(now);
+        if (level != previous || level != ConnectionSlots.Availability.PLENTY) {
             logPressure(now);
         }
         for (ClientLink link : new ArrayList<>(links)) {
             ConnectionSlots.Behaviour behaviour = link.behaviour();
-            // What a link has said may lie unread: it is no fault of the link that this router is late.
-            if (now - link.since(behaviour) > ConnectionSlots.holdLimit(behaviour, level) + late) {
-                act(link, impatient -> ended[behaviour.ordinal()] += impatient.giveUp(behaviour) ? 1 : 0);
+            // Input of the link may lie unread: the delay of this router must not count against the client.
+            if (now - link.since(behaviour) > ConnectionSlots.holdLimit(behaviour, level) + inputDelay) {
+                runGuarded(link, expired -> slotsGivenUp[behaviour.ordinal()] += expired.giveUpSlot(behaviour) ? 1 : 0);
             } else {
-                act(link, ClientLink::resume);
+                runGuarded(link, ClientLink::resume);
             }
         }
         if (socket.isPaused()) {
-            cutShort(now);
+            endLingering(now);
         } else {
-            socket.nobodyWaits();
+            socket.onIdle();
         }
     }
 
-    private void cutShort(double now) {
-        for (Map.Entry<ClientLink, Double> one : List.copyOf(lingering.entrySet())) {
-            if (now - one.getValue() >= LINGERS_WHEN_FULL) {
-                one.getKey().cutShort();
+    private void endLingering(double now) {
+        for (Map.Entry<ClientLink, Double> entry : List.copyOf(lingering.entrySet())) {
+            if (now - entry.getValue() >= LINGER_WHEN_FULL_MAX) {
+                entry.getKey().endLingering();
             }
         }
     }
@@ -177,97 +180,106 @@
         return links.size() + lingering.size();
     }
 
-    /** An event for the operators while slots are short, not more often than once a second. */
+    /** Logs the use of slots while they are scarce, at most once per second. */
     private void logPressure(double now) {
-        if (now - loggedAt < LOG_EVERY) {
+        if (now - loggedAt < LOG_INTERVAL) {
             return;
         }
         loggedAt = now;
-        int[] of = new int[ConnectionSlots.Behaviour.values().length];
-        links.forEach(link -> of[link.behaviour().ordinal()]++);
+        int[] counts = new int[ConnectionSlots.Behaviour.values().length];
+        links.forEach(link -> counts[link.behaviour().ordinal()]++);
         var event = LOG.atInfo()
                 .addKeyValue("level", level)
                 .addKeyValue("links", links.size())
                 .addKeyValue("accepting", !socket.isPaused())
                 .addKeyValue("opened", opened)
-                .addKeyValue("held", held);
+                .addKeyValue("held", heldBytes);
         for (ConnectionSlots.Behaviour behaviour : ConnectionSlots.Behaviour.values()) {
-            event = event.addKeyValue(behaviour.name(), of[behaviour.ordinal()]);
+            event = event.addKeyValue(behaviour.name(), counts[behaviour.ordinal()]);
         }
         event.log("places");
     }
 
-    /** Bytes have come on a link. They are worked off once all sockets have been read, so that answers go first. */
-    void arrived(ClientLink link) {
-        arrived.add(link);
-        count(link);
-        if (!working) {
-            working = true;
+    /**
+     * Queues a link on which bytes have arrived. They are processed once all sockets have been read, so that answers of
+     * cache servers come first.
+     */
+    void onBytes(ClientLink link) {
+        readyLinks.add(link);
+        updateHeldBytes(link);
+        if (!processing) {
+            processing = true;
             loop.execute(this::workOff);
         }
     }
 
-    /** Takes the commands that have come, a batch at a time. Public for who has no event loop to wait for. */
+    /**
+     * Processes the commands that have arrived, one batch at a time. Public for callers that cannot wait for an event
+     * loop.
+     */
     public void workOff() {
-        for (int n = WORKED_OFF_IN_A_ROW; n > 0 && !arrived.isEmpty(); n--) {
-            ClientLink link = arrived.remove();
-            act(link, ClientLink::workOff);
-            count(link);
+        for (int n = LINKS_PER_BATCH; n > 0 && !readyLinks.isEmpty(); n--) {
+            ClientLink link = readyLinks.remove();
+            runGuarded(link, ClientLink::processQueued);
+            updateHeldBytes(link);
         }
-        working = !arrived.isEmpty();
-        if (working) {
-            // By way of a timer: a task would run before sockets are looked at again.
+        processing = !readyLinks.isEmpty();
+        if (processing) {
+            // Uses a timer, because a task would run before the sockets are polled again.
             loop.schedule(this::workOff, 0, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Guards against a fault on one link keeping all others from being served or closed. */
-    static void act(ClientLink link, Consumer<ClientLink> action) {
+    /**
+     * Runs an action and aborts the link if it fails, so that an error on one link does not keep the others from being
+     * served or closed.
+     */
+    static void runGuarded(ClientLink link, Consumer<ClientLink> action) {
         try {
             action.accept(link);
         } catch (RuntimeException e) {
-            LOG.error("a client link failed", e);
+            LOG.error("closed a client connection after an internal error", e);
             link.fail();
         }
     }
 
-    private void count(ClientLink link) {
-        held += link.grown();
+    private void updateHeldBytes(ClientLink link) {
+        heldBytes += link.heldBytesChange();
     }
 
     boolean hasMemory() {
-        return slots.hasMemory(held);
+        return slots.hasMemory(heldBytes);
     }
 
-    /** When bytes that are read now can have come at the earliest. */
-    double cameAt(double now) {
+    /** The earliest time at which bytes that are read now can have arrived. */
+    double earliestArrival(double now) {
         delay.onRead(now);
         return now - delay.unreadFor(now);
     }
 
-    /** Takes no more connections: what waits in the backlog is left to whoever has the socket as well. */
+    /** Stops accepting connections; those in the backlog are left to the other processes that share the socket. */
     public void stopAccepting() {
         socket.stop();
     }
 
-    /** Whether idle links are closed now. */
-    boolean sendsLinksAway() {
+    /** Whether a drain closes idle links now. */
+    boolean closesIdleLinks() {
         Drain.Phase phase = drain.phase(clock.now());
-        return phase == Drain.Phase.LEAVE || phase == Drain.Phase.LAST;
+        return phase == Drain.Phase.CLOSE_IDLE || phase == Drain.Phase.LAST;
     }
 
-    /** Whether nothing new is served. */
+    /** Whether new requests are rejected. */
     boolean rejectsRequests() {
         return drain.rejectsRequests(clock.now());
     }
 
     /**
-     * Accepts who waits, and closes the listening socket once nobody does. Guards against connections that wait to be
-     * accepted and would be reset with that socket: whoever asks on them gets an answer.
+     * Accepts the connections in the backlog, and closes the listening socket once the backlog is empty. Connections in
+     * the backlog would otherwise be reset with the socket; this way their requests get an answer.
      */
-    private void acceptLast(double now) {
-        if (Double.isNaN(lastSince)) {
-            lastSince = now;
+    private void acceptRemaining(double now) {
+        if (Double.isNaN(finalAcceptSince)) {
+            finalAcceptSince = now;
         }
         if (!socket.isOwn() || socket.isOver()) {
             return;
@@ -276,13 +288,13 @@
         if (!socket.isPaused()) {
             socket.acceptNow();
         }
-        boolean nobodyWaits = !socket.isPaused() && !socket.isRetryDue() && opened == before;
-        if (nobodyWaits || now - lastSince > LAST_ACCEPTED) {
+        boolean backlogEmpty = !socket.isPaused() && !socket.isRetryDue() && opened == before;
+        if (backlogEmpty || now - finalAcceptSince > FINAL_ACCEPT_MAX) {
             stopAccepting();
         }
     }
 
-    /** Nobody is there, and nobody comes any more. */
+    /** Whether no link is left and no further connection is accepted. */
     public boolean isOver() {
         return links.isEmpty() && lingering.isEmpty() && socket.isOver();
     }
@@ -295,52 +307,54 @@
         return host.invariants();
     }
 
-    /** Whether this process has said that it serves. */
+    /** Whether this process has reported that it serves. */
     boolean hasStarted() {
         return drain.state() != Drain.State.STARTING;
     }
 
     /** The answer to {@code mn}. */
-    String alive() {
+    String aliveAnswer() {
         return drain.reportsAlive() ? "MN" : "SERVER_ERROR draining";
     }
 
-    String stats() {
+    String statsAnswer() {
         return stats.get();
     }
 
-    void opened(ClientLink link) {
+    void onOpened(ClientLink link) {
         opened++;
         links.add(link);
         if (!slots.hasSlot(slotsTaken()) && !socket.isPaused()) {
-            // The next ones wait in the backlog: to accept and close at once would only make them come again.
+            // Further connections wait in the backlog: accepting and closing them immediately would only make clients
+            // reconnect.
             if (socket.isListening()) {
-                timesFull++;
+                timesSlotsFull++;
                 socket.pause();
             }
-            // Not before all sockets of this turn have been read: who has asked by now is not silent.
-            loop.execute(this::look);
+            // Deferred until all sockets of this iteration have been read: a client whose request has arrived by now is
+            // not silent.
+            loop.execute(this::checkSlots);
         }
     }
 
-    /** Nothing is taken or answered on it any more; it keeps its slot until it is given back. */
-    void closed(ClientLink link) {
-        closes[link.closeReason().ordinal()]++;
+    /** Notes that nothing is taken or answered on the link any more; it keeps its slot until the channel is closed. */
+    void onClosed(ClientLink link) {
+        closesByReason[link.closeReason().ordinal()]++;
         if (links.remove(link)) {
             lingering.put(link, clock.now());
         }
-        count(link);
+        updateHeldBytes(link);
     }
 
-    void givenBack(ClientLink link) {
+    void onChannelClosed(ClientLink link) {
         lingering.remove(link);
-        count(link);
+        updateHeldBytes(link);
         if (socket.isPaused() && slots.hasSlot(slotsTaken())) {
             socket.resume();
         }
     }
 
-    void took(Command.Kind kind) {
+    void onCommand(Command.Kind kind) {
         commands[kind.ordinal()]++;
     }
 
@@ -348,12 +362,12 @@
         return clock.now();
     }
 
-    void turnedAway(Command command) {
-        turnedAway++;
+    void onRejected(Command command) {
+        rejected++;
         REQUESTS.debug("id={} turned away drain={}", command.id(), drain.state());
     }
 
-    void malformed() {
+    void onMalformed() {
         malformed++;
     }
 
@@ -362,18 +376,21 @@
         to.accept("client_links_lingering", lingering.size());
         to.accept("client_links_opened", opened);
         to.accept("client_accepts_failed", socket.failures());
-        to.accept("client_places_full", timesFull);
-        to.accept("client_requests_turned_away", turnedAway);
+        to.accept("client_places_full", timesSlotsFull);
+        to.accept("client_requests_turned_away", rejected);
         to.accept("client_input_malformed", malformed);
-        to.accept("client_bytes_held", held);
+        to.accept("client_bytes_held", heldBytes);
         for (Command.Kind kind : Command.Kind.values()) {
             to.accept("client_commands_" + kind.name().toLowerCase(Locale.ROOT), commands[kind.ordinal()]);
         }
         for (CloseReason reason : CloseReason.values()) {
-            to.accept("client_links_closed_" + reason.name().toLowerCase(Locale.ROOT), closes[reason.ordinal()]);
+            to.accept(
+                    "client_links_closed_" + reason.name().toLowerCase(Locale.ROOT), closesByReason[reason.ordinal()]);
         }
         for (ConnectionSlots.Behaviour behaviour : ConnectionSlots.Behaviour.values()) {
-            to.accept("client_links_given_up_" + behaviour.name().toLowerCase(Locale.ROOT), ended[behaviour.ordinal()]);
+            to.accept(
+                    "client_links_given_up_" + behaviour.name().toLowerCase(Locale.ROOT),
+                    slotsGivenUp[behaviour.ordinal()]);
         }
     }
 }
--- a/router/src/main/java/stagepier/client/ListeningSocket.java
+++ b/router/src/main/java/stagepier/client/ListeningSocket.java
@@ -23,45 +23,47 @@
 import stagepier.overload.Pressure;
 
 /**
- * The socket on which clients connect: accepts them in batches, rests while there is no room for more, and knows for how long one
- * that is accepted may have waited. Owns the socket, unless other processes have it as well.
+ * The socket on which clients connect. Accepts connections in batches, pauses while there is no room for more, and
+ * estimates how long an accepted connection may have waited in the backlog. Owns the socket, unless it is shared with
+ * other processes.
  */
 final class ListeningSocket {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningSocket.class);
     private static final int BACKLOG = 512;
-    /** Seconds between two lines of the log about failures. */
-    private static final double WARN_EVERY = 1;
+    /** Seconds between two log lines about failures. */
+    private static final double WARN_INTERVAL = 1;
 
     private final Clock clock;
-    private final Consumer<Channel> accepted;
-    private final ServerChannelRecvByteBufAllocator batches = new ServerChannelRecvByteBufAllocator();
-    private final RateLimitedWarning failures = new RateLimitedWarning(LOG, "a client was not accepted", WARN_EVERY);
-    private final AcceptControl control = new AcceptControl(this::failed);
+    private final Consumer<Channel> onAccepted;
+    private final ServerChannelRecvByteBufAllocator batchAllocator = new ServerChannelRecvByteBufAllocator();
+    private final RateLimitedWarning failures =
+            new RateLimitedWarning(LOG, "failed to accept a client connection", WARN_INTERVAL);
+    private final AcceptControl control = new AcceptControl(this::onAcceptFailed);
     private final BacklogWait backlog = new BacklogWait(Pressure.DEFAULT_ACCEPT_BATCH);
-    /** Null before it listens. */
+    /** Null until it listens. */
     private Channel channel;
-    /** The socket is other processes' as well, and never closed here. */
+    /** Whether the socket is shared with other processes, and therefore never closed here. */
     private boolean shared;
 
     private boolean stopped;
     private boolean paused;
 
-    /** @param accepted is given the channel of each connection, while that is set up */
-    ListeningSocket(Clock clock, Consumer<Channel> accepted) {
+    /** @param onAccepted receives the channel of each connection while the channel is being initialized */
+    ListeningSocket(Clock clock, Consumer<Channel> onAccepted) {
         this.clock = clock;
-        this.accepted = accepted;
-        batches.maxMessagesPerRead(Pressure.DEFAULT_ACCEPT_BATCH);
+        this.onAccepted = onAccepted;
+        batchAllocator.maxMessagesPerRead(Pressure.DEFAULT_ACCEPT_BATCH);
     }
 
-    /** How many connections are accepted in a row from now on. */
-    void batch(int most) {
-        batches.maxMessagesPerRead(most);
-        backlog.setBatchLimit(most);
+    /** Sets how many connections are accepted in a row. */
+    void setBatchLimit(int limit) {
+        batchAllocator.maxMessagesPerRead(limit);
+        backlog.setBatchLimit(limit);
     }
 
-    /** Listens on a socket of its own. */
+    /** Listens on a socket of this process. */
     ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
-        return listening(server(group)
+        return started(bootstrap(group)
                 .channelFactory(Sockets.listening())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -69,28 +71,29 @@
     }
 
     /**
-     * Accepts from a socket that listens already and is other processes' as well. It is never closed here: that would
-     * lead descriptors 0 to 2 to nowhere, and the log with them.
+     * Accepts connections from a listening socket that is shared with other processes. It is never closed here: closing
+     * it would redirect the descriptors 0 to 2, and with them the log, to nowhere.
      */
-    ChannelFuture listen(EventLoopGroup group, ServerSocketChannel passed) {
+    ChannelFuture listen(EventLoopGroup group, ServerSocketChannel existing) {
         shared = true;
-        return listening(server(group).channelFactory(Sockets.listening(passed)).register());
+        return started(
+                bootstrap(group).channelFactory(Sockets.listening(existing)).register());
     }
 
-    private ChannelFuture listening(ChannelFuture up) {
+    private ChannelFuture started(ChannelFuture up) {
         channel = up.channel();
         return up;
     }
 
-    private void failed(Throwable cause) {
+    private void onAcceptFailed(Throwable cause) {
         backlog.onAcceptFailed();
         failures.warn(clock.now(), cause.getMessage());
     }
 
-    private ServerBootstrap server(EventLoopGroup group) {
+    private ServerBootstrap bootstrap(EventLoopGroup group) {
         return new ServerBootstrap()
                 .group(group)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, batches)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, batchAllocator)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel listening) {
@@ -102,12 +105,12 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel child) {
-                        accepted.accept(child);
+                        onAccepted.accept(child);
                     }
                 });
     }
 
-    /** Tells the backlog's wait how many were accepted in a row. */
+    /** Counts accepted connections per batch for the estimate of the waiting time in the backlog. */
     private final class BatchCounter extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object child) {
@@ -142,24 +145,24 @@
         control.accept(!stopped);
     }
 
-    /** Whether it accepts none for good, or never listened. */
+    /** Whether it has stopped accepting for good, or never listened. */
     boolean isOver() {
         return channel == null || stopped;
     }
 
-    /** Whether it is closed once it stops: one that is other processes' as well is theirs to go on with. */
+    /** Whether stopping closes the socket; a shared one remains open for the other processes. */
     boolean isOwn() {
         return channel != null && !shared;
     }
 
-    /** Accepts who waits by now, without waiting to be told of it. */
+    /** Accepts the connections in the backlog now, without waiting for a readiness event. */
     void acceptNow() {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             unsafe.read();
         }
     }
 
-    /** Takes no more connections: what waits in the backlog is left to whoever has the socket as well. */
+    /** Stops accepting connections; those in the backlog are left to the other processes that share the socket. */
     void stop() {
         stopped = true;
         if (channel != null && shared) {
@@ -169,24 +172,24 @@
         }
     }
 
-    /** Whether connections may be waiting in the backlog though it accepts, for accept has just failed. */
+    /** Whether connections may wait in the backlog although it accepts, because accept has just failed. */
     boolean isRetryDue() {
         return control.isRetryDue();
     }
 
-    /** How often a connection could not be accepted. */
+    /** Number of connections that could not be accepted. */
     long failures() {
         return failures.count();
     }
 
-    /** It has been accepting all along and nobody came. */
-    void nobodyWaits() {
+    /** Notes that it was accepting all along and no connection arrived. */
+    void onIdle() {
         if (!control.isRetryDue()) {
             backlog.onIdle(clock.now());
         }
     }
 
-    /** The earliest time at which a connection that is accepted now can have come. */
+    /** The earliest time at which a connection that is accepted now can have been opened by the client. */
     double earliestArrival() {
         return backlog.earliestArrival(clock.now());
     }
--- a/router/src/main/java/stagepier/client/ReplyEncoder.java
+++ b/router/src/main/java/stagepier/client/ReplyEncoder.java
@@ -5,13 +5,13 @@
 import stagepier.memcache.Command;
 import stagepier.memcache.Protocol;
 
-/** Encodes final answers in the protocol of clients. */
+/** Encodes final answers in the client protocol. */
 final class ReplyEncoder {
     static final String FAILED = "SERVER_ERROR failed";
 
     private ReplyEncoder() {}
 
-    /** The answer to a command. */
+    /** Returns the answer to a command. */
     static AnswerBytes encode(Command command, Reply reply) {
         return switch (reply.kind()) {
             case SERVED -> command.isWrite() ? receipt(command, reply) : value(command, reply);
@@ -20,7 +20,7 @@
         };
     }
 
-    /** A line alone. */
+    /** Returns an answer of one line. */
     static AnswerBytes line(String text) {
         return new AnswerBytes(Protocol.line(text));
     }
--- a/router/src/main/java/stagepier/drain/Drain.java
+++ b/router/src/main/java/stagepier/drain/Drain.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Whether this process serves, and how far a drain has come: the one owner of that for PAUSE, SIGTERM and the old side of
- * an upgrade. Free of I/O and clock; all times in seconds.
+ * Whether this process serves, and how far a drain has progressed. The single owner of that state for PAUSE, SIGTERM
+ * and the old process of an upgrade. Performs no I/O and reads no clock; all times are in seconds.
  *
  * <pre>
  * STARTING --started--> SERVING --pause--> PAUSED --resume--> SERVING
- *     any state --end--> ENDING, which is the last
+ *     any state --end--> ENDING, which is final
  * </pre>
  *
- * A drain goes through three phases. While it LINGERs all is served as before, for new clients still come. Then links
- * LEAVE: each is closed once nothing is open on it. At LAST the links that are there take no more commands, finish
- * what they took, and close. A client that goes on sending can put off the end of its link only until
+ * A drain has three phases. During GRACE everything is served as before, because new clients still arrive. During
+ * CLOSE_IDLE each link is closed once nothing is pending on it. During LAST the remaining links take no more commands,
+ * finish those they took, and close. A client that sends continuously can delay the close of its link only until
  * {@link #closesAllLinks}.
  */
 public final class Drain {
-    /** What this process does. */
+    /** The state of this process. */
     public enum State {
         STARTING,
         SERVING,
@@ -26,68 +26,83 @@
         ENDING
     }
 
-    /** Is told of each change of state, after it. */
+    /** Called after each change of state. */
     @FunctionalInterface
     public interface Listener {
         void changed(State from, State to);
     }
 
-    /** How far a drain has come. */
+    /** The progress of a drain. */
     public enum Phase {
         NONE,
-        LINGER,
-        LEAVE,
+        GRACE,
+        CLOSE_IDLE,
         LAST
     }
 
-    /** After a call to pause, new clients are still sent here for 0.2 s. */
-    private static final double PAUSE_LINGERS = 0.3;
-    /** Clients have to be gone 4 s after the call, and requests may take 2.5 s. */
-    private static final double PAUSE_LASTS_FROM = 1.2;
-    /** After a call to pause nobody may be held for longer who is idle or has asked lately. */
-    private static final double PAUSE_GONE_BY = 4;
-    /** A request of the last 2 s counts as asked lately; a little more, for its way here. */
-    private static final double ASKED_LATELY = 2.1;
-    /** After the word to stop, clients still come and ask for so long. */
-    private static final double END_LINGERS = 0.7;
-    /** The longest deadline is taken as this where it is longer, when it is reckoned how soon a process may be killed. */
-    private static final double DEADLINE_MOST = 3;
-    /** Links of clients that go on sending are ended so long before nobody may be held: for the way, and a late look. */
-    private static final double CLOSES_BEFORE = 0.6;
-
-    /** Part of the phase in which links leave over which they are spread. */
-    private static final double SPREAD = 0.7;
+    /** In seconds. New clients are still directed here for 0.2 s after a call to pause. */
+    private static final double PAUSE_GRACE = 0.3;
+    /**
+     * In seconds after a call to pause. Clients must be disconnected 4 s after the call, and requests may take 2.5 s.
+     */
+    private static final double PAUSE_LAST_FROM = 1.2;
+    /**
+     * In seconds after a call to pause. From then on no client may be connected that is idle or has sent a request
+     * recently.
+     */
+    private static final double PAUSE_CLOSED_BY = 4;
+    /** In seconds. A request within the last 2 s counts as recent; the rest is a margin for its transmission. */
+    private static final double RECENT_REQUEST = 2.1;
+    /** In seconds. Clients still connect and send requests for this long after the process was asked to stop. */
+    private static final double END_GRACE = 0.7;
+    /**
+     * In seconds. Upper limit for the longest deadline when the time is computed after which a process may be killed.
+     */
+    private static final double DEADLINE_MAX = 3;
+    /**
+     * In seconds. Links of clients that send continuously are closed this long before the deadline, as a margin for
+     * transmission and for a late check.
+     */
+    private static final double FORCED_CLOSE_LEAD = 0.6;
+
+    /** Fraction of the CLOSE_IDLE phase over which the closing of links is spread. */
+    private static final double SPREAD_FRACTION = 0.7;
 
     private final List<Listener> listeners = new ArrayList<>();
     private State state = State.STARTING;
-    private final double endGoneBy;
+    private final double endClosedBy;
     private boolean pausedEarly;
-    /** When the call to pause came that holds; NaN where there is none. */
+    /** Time of the call to pause that is in force; NaN if there is none. */
     private double pausedAt = Double.NaN;
-    /** When the drain that is on began. */
+    /** Time at which the current drain began. */
     private double since;
 
-    private double lingers;
+    private double grace;
     private double lastFrom;
 
-    /** One for settings that allow the longest deadline that counts. */
+    /** Creates one for settings with the longest deadline that is taken into account. */
     public Drain() {
-        this(DEADLINE_MOST);
+        this(DEADLINE_MAX);
     }
 
-    /** @param longestDeadline of any class: a process that ends may be killed so long after its last moment of service */
+    /**
+     * @param longestDeadline longest deadline of all classes: a process that ends may be killed this long after its
+     *     last moment of service
+     */
     public Drain(double longestDeadline) {
-        endGoneBy = END_LINGERS + Math.min(longestDeadline, DEADLINE_MOST);
+        endClosedBy = END_GRACE + Math.min(longestDeadline, DEADLINE_MAX);
     }
 
-    /** Clients can be served from now on. */
+    /** Reports that clients can be served from now on. */
     public void started() {
         if (state == State.STARTING) {
-            become(pausedEarly ? State.PAUSED : State.SERVING);
+            enter(pausedEarly ? State.PAUSED : State.SERVING);
         }
     }
 
-    /** Sends clients away; again is the same. Returns whether that holds. */
+    /**
+     * Starts a pause, which closes client links. A repeated call changes nothing. Returns whether a pause is in force.
+     */
     public boolean pause(double now) {
         if (Double.isNaN(pausedAt)) {
             pausedAt = now;
@@ -95,61 +110,65 @@
         if (state == State.STARTING) {
             pausedEarly = true;
         } else if (state == State.SERVING) {
-            begin(now, PAUSE_LINGERS, PAUSE_LASTS_FROM);
-            become(State.PAUSED);
+            startDrain(now, PAUSE_GRACE, PAUSE_LAST_FROM);
+            enter(State.PAUSED);
         }
         return true;
     }
 
-    /** Ends a pause, or confirms that there is none. Returns whether that holds: a process that ends does not come back. */
+    /**
+     * Ends a pause, or confirms that there is none. Returns false if the process is ending, which cannot be reverted.
+     */
     public boolean resume() {
         pausedEarly = false;
         if (state != State.ENDING) {
             pausedAt = Double.NaN;
         }
         if (state == State.PAUSED) {
-            become(State.SERVING);
+            enter(State.SERVING);
         }
         return state != State.ENDING;
     }
 
     /**
-     * This process ends.
+     * Starts the end of this process.
      *
-     * @param handedOver nobody new comes here from now on: the clients' socket is another process' as well
+     * @param handedOver whether no new client connects here from now on, because the client socket is shared with
+     *     another process
      */
     public void end(double now, boolean handedOver) {
         if (state == State.ENDING) {
             return;
         }
-        boolean goesOn = state == State.PAUSED;
-        begin(now, handedOver || goesOn ? 0 : END_LINGERS, END_LINGERS);
-        become(State.ENDING);
+        boolean alreadyDraining = state == State.PAUSED;
+        startDrain(now, handedOver || alreadyDraining ? 0 : END_GRACE, END_GRACE);
+        enter(State.ENDING);
     }
 
-    /** Tells of each change from now on; in the order in which listeners came. */
+    /** Registers a listener; listeners are called in the order of their registration. */
     public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
-    private void become(State next) {
+    private void enter(State next) {
         State before = state;
         state = next;
         listeners.forEach(listener -> listener.changed(before, next));
     }
 
-    private void begin(double now, double linger, double last) {
+    private void startDrain(double now, double newGrace, double newLastFrom) {
         since = now;
-        lingers = linger;
-        lastFrom = last;
+        grace = newGrace;
+        lastFrom = newLastFrom;
     }
 
     /**
-     * Seconds after which the next link may be sent away, so that the last of so many goes well before the end of the phase.
-     * Guards against all clients coming anew at the next process at once, which has just started.
+     * Seconds until the next link may be closed, so that the last of the given number closes well before the end of the
+     * phase. Spreads the load on the next process, which has just started, instead of having all clients reconnect
+     * there at once.
      */
     public double nextCloseIn(double now, int links) {
-        double end = since + lingers + SPREAD * (lastFrom - lingers);
+        double end = since + grace + SPREAD_FRACTION * (lastFrom - grace);
         return Math.max(0, (end - now) / Math.max(1, links));
     }
 
@@ -157,58 +176,67 @@
         return state;
     }
 
-    /** Whether clients are sent away: paused or about to end. */
-    public boolean isOn() {
+    /** Whether client links are closed, because the process is paused or ending. */
+    public boolean isDraining() {
         return state == State.PAUSED || state == State.ENDING;
     }
 
-    /** Whether this process is about to end and serves nothing new. */
+    /** Whether this process is about to end and rejects new requests. */
     public boolean isEndingNow(double now) {
         return state == State.ENDING && phase(now) == Phase.LAST;
     }
 
-    /** When nobody may be held any more who is idle or has asked lately; infinite while no drain is on. */
+    /**
+     * Time from which on no client may be connected that is idle or has sent a request recently; infinite while no
+     * drain is on.
+     */
     public double idleCloseDeadline() {
-        return Math.min(goneByPause(), goneByEnd());
+        return Math.min(pauseDeadline(), endDeadline());
     }
 
-    private double goneByPause() {
-        return Double.isNaN(pausedAt) ? Double.POSITIVE_INFINITY : pausedAt + PAUSE_GONE_BY;
+    private double pauseDeadline() {
+        return Double.isNaN(pausedAt) ? Double.POSITIVE_INFINITY : pausedAt + PAUSE_CLOSED_BY;
     }
 
-    private double goneByEnd() {
-        return state == State.ENDING ? since + endGoneBy : Double.POSITIVE_INFINITY;
+    private double endDeadline() {
+        return state == State.ENDING ? since + endClosedBy : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether a request that comes now is turned away, on whatever link: its answer could come after the drain's last moment. */
+    /**
+     * Whether a request that arrives now is rejected, on any link, since its answer might come after the end of the
+     * drain.
+     */
     public boolean rejectsRequests(double now) {
-        return isEndingNow(now) || now >= goneByPause() - ASKED_LATELY;
+        return isEndingNow(now) || now >= pauseDeadline() - RECENT_REQUEST;
     }
 
-    /** Whether links are ended whatever their clients still send, as soon as nothing is owed on them. */
+    /** Whether links are closed as soon as no answer is owed on them, even if their clients keep sending. */
     public boolean closesAllLinks(double now) {
         return switch (phase(now)) {
-            case NONE, LINGER -> false;
-            case LEAVE -> now >= goneByPause() - CLOSES_BEFORE;
-            case LAST -> now >= idleCloseDeadline() - CLOSES_BEFORE;
+            case NONE, GRACE -> false;
+            case CLOSE_IDLE -> now >= pauseDeadline() - FORCED_CLOSE_LEAD;
+            case LAST -> now >= idleCloseDeadline() - FORCED_CLOSE_LEAD;
         };
     }
 
-    /** Whether clients may be sent here. */
+    /** Whether clients may be directed to this process. */
     public boolean isReady() {
         return state == State.SERVING;
     }
 
-    /** What a client is told that asks whether this router is alive: one that only ends serves on for those that come. */
+    /**
+     * The answer to a client that checks whether this router is alive. A process that is ending without a pause still
+     * serves the clients that connect.
+     */
     public boolean reportsAlive() {
         return isReady() || state == State.ENDING && Double.isNaN(pausedAt);
     }
 
     public Phase phase(double now) {
-        if (!isOn()) {
+        if (!isDraining()) {
             return Phase.NONE;
         }
-        double on = now - since;
-        return on < lingers ? Phase.LINGER : on < lastFrom ? Phase.LEAVE : Phase.LAST;
+        double elapsed = now - since;
+        return elapsed < grace ? Phase.GRACE : elapsed < lastFrom ? Phase.CLOSE_IDLE : Phase.LAST;
     }
 }
--- a/router/src/main/java/stagepier/drain/package-info.java
+++ b/router/src/main/java/stagepier/drain/package-info.java
@@ -1,2 +1,2 @@
-/** The life cycle of a process: starting, serving, paused and ending. Free of I/O and clock. */
+/** The life cycle of a process: starting, serving, paused and ending. Performs no I/O and reads no clock. */
 package stagepier.drain;
--- a/router/src/test/java/stagepier/client/SendAwayTest.java
+++ b/router/src/test/java/stagepier/client/ClientDrainTest.java
@@ -27,14 +27,14 @@
 import stagepier.overload.LoopDelay;
 import stagepier.settings.SettingsParser;
 
-/** How a drain sends clients away whose links are never idle when it looks, with time that a test moves on. */
-class SendAwayTest {
-    private static final int PLACES = 20;
-    /** From a pause on, links leave after 0.3 s and until 1.2 s. */
-    private static final int LEAVING_MS = 400;
-    /** So long after a pause the idle links have left one by one. */
-    private static final int MOSTLY_GONE_MS = 1150;
-    /** Links that have not left by then take nothing more. */
+/** A drain closes the links of clients whose links are never idle when it checks them. The test controls the time. */
+class ClientDrainTest {
+    private static final int SLOTS = 20;
+    /** After a pause, idle links are closed from 0.3 s until 1.2 s. */
+    private static final int CLOSING_IDLE_MS = 400;
+    /** Time after a pause by which the idle links have been closed one by one. */
+    private static final int IDLE_CLOSED_MS = 1150;
+    /** Time after a pause from which on the remaining links take no more commands. */
     private static final int LAST_MS = 1300;
 
     private static final String SETTINGS = """
@@ -42,8 +42,8 @@
             "Flavors":["m"],"Limits":{"MaxAttempts":3,"MaxRetryAfter":1.2,"DialTimeout":2,"IdleClose":60},
             "Obligations":{"DrainGrace":1}}""";
 
-    /** Requests wait until the test answers them. */
-    private final class WaitingModule extends NoOpEvents {
+    /** Keeps requests pending until the test answers them. */
+    private final class PendingModule extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request request) {
             requests.add(request.id());
@@ -63,8 +63,8 @@
         time.freezeTime();
         LoopDelay delay = new LoopDelay();
         host = new ModuleHost(time.eventLoop(), clock, delay, SettingsParser.parse(SETTINGS));
-        host.connect(new WaitingModule(), new NoOpTransport() {});
-        clients = new ClientListener(time.eventLoop(), clock, delay, PLACES, host, () -> "END", drain);
+        host.connect(new PendingModule(), new NoOpTransport() {});
+        clients = new ClientListener(time.eventLoop(), clock, delay, SLOTS, host, () -> "END", drain);
         client = new EmbeddedChannel(adopting());
         drain.started();
     }
@@ -78,7 +78,7 @@
         };
     }
 
-    /** A client whose channel throws at the next look, once it is told to. */
+    /** A client whose channel throws once at the next check after the test has armed it. */
     private final class FaultyChannel extends EmbeddedChannel {
         private boolean fails;
 
@@ -90,13 +90,13 @@
         public boolean isActive() {
             if (fails) {
                 fails = false;
-                throw new IllegalStateException("a fault that a test makes");
+                throw new IllegalStateException("injected fault");
             }
             return super.isActive();
         }
     }
 
-    private void pass(int milliseconds) {
+    private void advance(int milliseconds) {
         for (int ms = 0; ms < milliseconds; ms++) {
             clock.pass(1e-3);
             time.advanceTimeBy(1, TimeUnit.MILLISECONDS);
@@ -105,18 +105,18 @@
         }
     }
 
-    private void ask(String... ids) {
+    private void submit(String... ids) {
         StringBuilder text = new StringBuilder();
         for (String id : ids) {
             text.append("mg k v O").append(id).append(" Pc=read,d=4000\r\n");
         }
         client.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
-        pass(1);
+        advance(1);
     }
 
     private void pause() {
         drain.pause(clock.now());
-        pass(LEAVING_MS);
+        advance(CLOSING_IDLE_MS);
     }
 
     private void refuseNext() {
@@ -134,30 +134,30 @@
     }
 
     @Test
-    void anIdleLinkIsClosed() {
-        ask("a");
+    void idleLinkIsClosed() {
+        submit("a");
         refuseNext();
         pause();
         assertFalse(client.isOpen());
     }
 
     @Test
-    void aLinkThatIsNeverIdleWhenItIsLookedAtClosesRightAfterItsAnswer() {
-        ask("a");
+    void linkThatIsNeverIdleAtACheckClosesRightAfterItsAnswer() {
+        submit("a");
         pause();
-        assertTrue(client.isOpen(), "it is owed an answer");
+        assertTrue(client.isOpen(), "an answer is pending");
         refuseNext();
         assertEquals("SERVER_ERROR busy 100\r\n", answers());
         assertFalse(client.isOpen());
     }
 
     @Test
-    void whatWasAskedBeforeIsAnsweredFirst() {
-        ask("a", "b");
+    void pendingRequestsAreAnsweredBeforeTheLinkCloses() {
+        submit("a", "b");
         pause();
         refuseNext();
-        assertTrue(client.isOpen(), "one more is open on it");
-        ask("c");
+        assertTrue(client.isOpen(), "another request is pending");
+        submit("c");
         refuseNext();
         refuseNext();
         assertEquals("SERVER_ERROR busy 100\r\n".repeat(3), answers());
@@ -165,51 +165,51 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {MOSTLY_GONE_MS, LAST_MS})
-    void aLinkOnWhichALookFailsKeepsNoOtherClient(int drainedFor) {
+    @ValueSource(ints = {IDLE_CLOSED_MS, LAST_MS})
+    void failedCheckOfOneLinkDoesNotKeepOtherLinksOpen(int drainedFor) {
         FaultyChannel faulty = new FaultyChannel();
         EmbeddedChannel other = new EmbeddedChannel(adopting());
-        pass(LAST_MS);
+        advance(LAST_MS);
         faulty.fails = true;
         drain.pause(clock.now());
-        pass(drainedFor);
+        advance(drainedFor);
         assertFalse(client.isOpen());
         assertFalse(other.isOpen());
-        assertFalse(faulty.isOpen(), "nobody looks after it any more");
+        assertFalse(faulty.isOpen(), "the failed link is aborted");
     }
 
     @Test
-    void clientsThatAreStillThereAtTheEndOfADrainsTimeAreCounted() {
-        EmbeddedChannel inACommand = new EmbeddedChannel(adopting());
-        inACommand.writeInbound(Unpooled.copiedBuffer("hello\r\nhel", StandardCharsets.ISO_8859_1));
-        ask("a");
+    void clientsConnectedPastTheDrainDeadlineAreCounted() {
+        EmbeddedChannel withinCommand = new EmbeddedChannel(adopting());
+        withinCommand.writeInbound(Unpooled.copiedBuffer("hello\r\nhel", StandardCharsets.ISO_8859_1));
+        submit("a");
         refuseNext();
-        pass(LAST_MS);
+        advance(LAST_MS);
         drain.pause(clock.now());
-        // The loop stands still, past the time of the drain.
+        // The loop stands still until after the deadline of the drain.
         clock.pass(4.2);
         time.advanceTimeBy(4200, TimeUnit.MILLISECONDS);
         time.runScheduledPendingTasks();
         assertEquals(2, host.invariants().violations(Invariant.GONE_BY_END_OF_DRAIN));
-        pass(1);
-        assertFalse(client.isOpen() || inACommand.isOpen());
+        advance(1);
+        assertFalse(client.isOpen() || withinCommand.isOpen());
     }
 
     @Test
-    void noClientIsCountedWhereADrainTakesItsTime() {
-        ask("a");
+    void noClientIsCountedWhenADrainEndsInTime() {
+        submit("a");
         pause();
         refuseNext();
-        pass(5000);
+        advance(5000);
         assertEquals(0, host.invariants().violations(Invariant.GONE_BY_END_OF_DRAIN));
     }
 
     @Test
-    void afterTheDrainItsLinkStays() {
-        ask("a");
+    void linkStaysOpenWhenTheDrainIsCancelled() {
+        submit("a");
         pause();
         drain.resume();
-        pass(LEAVING_MS);
+        advance(CLOSING_IDLE_MS);
         refuseNext();
         assertEquals("SERVER_ERROR busy 100\r\n", answers());
         assertTrue(client.isOpen());
--- a/router/src/test/java/stagepier/drain/DrainTest.java
+++ b/router/src/test/java/stagepier/drain/DrainTest.java
@@ -12,22 +12,22 @@
     private final Drain drain = new Drain();
 
     @Test
-    void aPauseSaysNoAtOnceAndSendsLinksAwayStepByStep() {
+    void pauseRejectsNewClientsImmediatelyAndClosesLinksInPhases() {
         assertFalse(drain.isReady());
         drain.started();
         assertTrue(drain.isReady() && drain.reportsAlive());
         assertEquals(Phase.NONE, drain.phase(9));
         assertTrue(drain.pause(10));
         assertFalse(drain.isReady() || drain.reportsAlive());
-        assertEquals(Phase.LINGER, drain.phase(10.2));
-        assertEquals(Phase.LEAVE, drain.phase(10.5));
+        assertEquals(Phase.GRACE, drain.phase(10.2));
+        assertEquals(Phase.CLOSE_IDLE, drain.phase(10.5));
         assertEquals(Phase.LAST, drain.phase(11.5));
         assertTrue(drain.pause(11));
-        assertEquals(Phase.LAST, drain.phase(11.5), "said again, it goes on from where it is");
+        assertEquals(Phase.LAST, drain.phase(11.5), "a repeated call does not restart the drain");
     }
 
     @Test
-    void aPauseEndsAtAnyMomentAndTwiceAndWhereThereWasNone() {
+    void resumeEndsAPauseAtAnyTimeAndIsIdempotent() {
         drain.started();
         assertTrue(drain.resume());
         for (double at : new double[] {0.1, 0.5, 5}) {
@@ -40,36 +40,36 @@
     }
 
     @Test
-    void aPauseBeforeTheStartHoldsAfterIt() {
+    void pauseBeforeTheStartAppliesAfterIt() {
         drain.pause(1);
         drain.started();
         assertEquals(State.PAUSED, drain.state());
-        assertEquals(Phase.LAST, drain.phase(2), "nobody has come yet, nobody has to be waited for");
+        assertEquals(Phase.LAST, drain.phase(2), "no client has connected yet, so there is no grace period");
     }
 
     @Test
-    void anEndServesOnForAWhileAndIsNotTakenBack() {
+    void endingProcessServesForAGracePeriodAndCannotBeReverted() {
         drain.started();
         drain.end(10, false);
         assertTrue(drain.reportsAlive());
         assertFalse(drain.isReady());
-        assertEquals(Phase.LINGER, drain.phase(10.6));
+        assertEquals(Phase.GRACE, drain.phase(10.6));
         assertEquals(Phase.LAST, drain.phase(10.8));
         assertFalse(drain.resume());
         drain.pause(11);
         drain.end(20, false);
         assertEquals(State.ENDING, drain.state());
-        assertEquals(Phase.LAST, drain.phase(20), "said again, it goes on from where it is");
+        assertEquals(Phase.LAST, drain.phase(20), "a repeated call does not restart the drain");
     }
 
     @Test
-    void linksOfClientsThatGoOnSendingAreEndedBeforeTheTimeOfAPauseIsOver() {
+    void linksOfClientsThatKeepSendingAreClosedBeforeThePauseDeadline() {
         drain.started();
         assertEquals(Double.POSITIVE_INFINITY, drain.idleCloseDeadline());
         drain.pause(10);
         drain.pause(13);
-        assertEquals(14, drain.idleCloseDeadline(), "said again, it is not put off");
-        assertFalse(drain.rejectsRequests(11.8), "it can be answered in time");
+        assertEquals(14, drain.idleCloseDeadline(), "a repeated call does not extend the deadline");
+        assertFalse(drain.rejectsRequests(11.8), "a request can still be answered in time");
         assertTrue(drain.rejectsRequests(12));
         assertFalse(drain.closesAllLinks(13.3));
         assertTrue(drain.closesAllLinks(13.5));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aProcessThatEndsEndsThemBeforeItMayBeKilled() {
+    void endingProcessClosesAllLinksBeforeItMayBeKilled() {
         Drain shortDeadlines = new Drain(0.4);
         shortDeadlines.started();
         shortDeadlines.end(10, false);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aPauseIsNotTakenBackByAnEndNorIgnoredAfterOne() {
+    void endDoesNotRevertAPauseAndPauseAppliesDuringAnEnd() {
         drain.started();
         drain.pause(10);
         drain.end(11, false);
@@ -105,22 +105,22 @@
         ending.end(10, false);
         ending.pause(10.1);
         assertFalse(ending.reportsAlive());
-        assertFalse(ending.resume(), "a process that ends does not come back");
+        assertFalse(ending.resume(), "an ending process cannot be resumed");
         assertFalse(ending.reportsAlive());
     }
 
     @Test
-    void anEndDoesNotPutOffTheTimeOfThePauseBeforeIt() {
+    void endDoesNotExtendTheDeadlineOfAnEarlierPause() {
         drain.started();
         drain.pause(10);
         drain.end(13.3, false);
         assertEquals(14, drain.idleCloseDeadline());
-        assertEquals(Phase.LEAVE, drain.phase(13.5));
+        assertEquals(Phase.CLOSE_IDLE, drain.phase(13.5));
         assertTrue(drain.closesAllLinks(13.5));
     }
 
     @Test
-    void linksLeaveSpreadOverThePhaseAndAllBeforeItsEnd() {
+    void linkClosesAreSpreadOverThePhaseAndFinishBeforeItsEnd() {
         drain.started();
         drain.end(10, true);
         double at = 10;
@@ -129,21 +129,21 @@
             assertTrue(next > 0 && next < 0.01, next + " s to the next");
             at += next;
         }
-        assertTrue(at < 10.55, "the last one left at " + at);
-        assertEquals(0, drain.nextCloseIn(10.6, 5), "late: at once");
+        assertTrue(at < 10.55, "the last link closed at " + at);
+        assertEquals(0, drain.nextCloseIn(10.6, 5), "after the planned time, the next link closes immediately");
     }
 
     @Test
-    void anEndWithTheSocketHandedOverOrInAPauseLetsIdleLinksGoAtOnce() {
+    void endWithAHandedOverSocketOrDuringAPauseClosesIdleLinksImmediately() {
         drain.started();
         drain.end(10, true);
-        assertEquals(Phase.LEAVE, drain.phase(10));
+        assertEquals(Phase.CLOSE_IDLE, drain.phase(10));
         assertEquals(Phase.LAST, drain.phase(10.8));
         Drain paused = new Drain();
         paused.started();
         paused.pause(8);
         paused.end(10, false);
-        assertEquals(Phase.LEAVE, paused.phase(10));
+        assertEquals(Phase.CLOSE_IDLE, paused.phase(10));
         assertFalse(paused.resume());
     }
 }
