--- a/router/src/main/java/stagepier/fleet/FleetConfig.java
+++ b/router/src/main/java/stagepier/fleet/FleetConfig.java
@@ -6,19 +6,20 @@
 import java.util.SortedMap;
 
 /**
- * {@code fleet.toml}, checked. All routers of a fleet are given the same file; which of them one is, is told by {@code name} in its own
- * configuration.
+ * The validated content of {@code fleet.toml}. All routers of a fleet use the same file; {@code name} in a router's own
+ * configuration says which member it is.
  *
- * @param file      where it was read, for messages
- * @param hash      of what has to be the same at all routers (names of members, lease, skew), not of addresses, which may differ from
- *                  router to router; members with another one are seen in the view
- * @param self      this router's name, one of {@code members}
- * @param listen    where this router listens for calls; its own address in {@code members} unless {@code listen} names another
- * @param members   each router's address for calls of the others, by name: the configured fleet, of which a majority decides
- * @param calendar  the file with the windows, or null where there is no calendar
- * @param lease     for how long a calendar that a majority confirmed is relied on
- * @param skew      by how much the wall clocks of two routers may differ at the most
- * @param candidate the file with the candidate map, or null where there is none
+ * @param file      path that the configuration was read from, for messages
+ * @param hash      hash of the values that must be equal on all routers (member names, lease, skew). Addresses are left
+ *                  out, since they may differ from router to router. The view shows members with a different hash.
+ * @param self      name of this router, one of {@code members}
+ * @param listen    address on which this router accepts calls; its own address in {@code members} unless {@code listen}
+ *                  names another
+ * @param members   address of each router for calls by the others, by name; quorums are a majority of these members
+ * @param calendar  path of the freeze calendar, or null if there is none
+ * @param lease     time for which a calendar remains valid after a majority has confirmed it
+ * @param skew      maximum difference between the wall clocks of two routers
+ * @param candidate path of the candidate map, or null if there is none
  */
 public record FleetConfig(
         Path file,
@@ -30,7 +31,7 @@
         Duration lease,
         Duration skew,
         Path candidate) {
-    /** How many of the configured fleet are a majority. */
+    /** Returns the number of members that form a majority of the configured fleet. */
     public int majority() {
         return members.size() / 2 + 1;
     }
--- a/router/src/main/java/stagepier/fleet/FleetConfigReader.java
+++ b/router/src/main/java/stagepier/fleet/FleetConfigReader.java
@@ -29,12 +29,12 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** Reads {@code fleet.toml}, strictly: a key that it does not know is a slip, and a slip here may split a fleet. */
+/** Reads {@code fleet.toml} and rejects unknown keys, since a misspelt key could split a fleet. */
 public final class FleetConfigReader {
-    static final int MOST_MEMBERS = 1_000;
-    static final long LARGEST_FILE = 256 * 1024;
-    private static final Pattern NAME = Pattern.compile("[a-z0-9](?:[a-z0-9-]{0,30}[a-z0-9])?");
-    private static final Pattern FIGURES =
+    static final int MAX_MEMBERS = 1_000;
+    static final long MAX_FILE_BYTES = 256 * 1024;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9](?:[a-z0-9-]{0,30}[a-z0-9])?");
+    private static final Pattern ADDRESS_PATTERN =
             Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3}):([0-9]{1,5})");
     private static final List<String> KEYS =
             List.of("listen", "lease_ms", "skew_ms", "calendar", "candidate", "member");
@@ -48,30 +48,30 @@
     }
 
     /**
-     * @param self this router's name
-     * @throws InvalidFleetFileException the first slip, in one line
+     * @param self name of this router
+     * @throws InvalidFleetFileException if the file is invalid; describes the first error in one line
      */
     public static FleetConfig read(Path file, String self) throws InvalidFleetFileException {
         return new FleetConfigReader(file).read(self);
     }
 
     private FleetConfig read(String self) throws InvalidFleetFileException {
-        String text = text();
+        String text = readText();
         toml = Toml.parse(text);
         if (toml.hasErrors()) {
             TomlParseError first = toml.errors().get(0);
             throw new InvalidFleetFileException(
                     file, first.position().line(), "-", "is no TOML: " + first.getMessage());
         }
-        known(toml, "", KEYS);
-        Duration lease = millis("lease_ms", 3_000, 1_000, 60_000);
-        Duration skew = millis("skew_ms", 2_000, 0, 10_000);
+        rejectUnknownKeys(toml, "", KEYS);
+        Duration lease = readMillis("lease_ms", 3_000, 1_000, 60_000);
+        Duration skew = readMillis("skew_ms", 2_000, 0, 10_000);
         InetSocketAddress listen = toml.contains(List.of("listen")) ? address(toml, "", "listen") : null;
         Path calendar = path("calendar");
         Path candidate = path("candidate");
-        SortedMap<String, InetSocketAddress> members = members();
+        SortedMap<String, InetSocketAddress> members = readMembers();
         if (!members.containsKey(self)) {
-            throw bad(toml, "", "member", "none has the name '" + self + "', which is this router's");
+            throw invalid(toml, "", "member", "none has the name '" + self + "', which is this router's");
         }
         return new FleetConfig(
                 file,
@@ -85,10 +85,10 @@
                 candidate);
     }
 
-    private String text() throws InvalidFleetFileException {
+    private String readText() throws InvalidFleetFileException {
         try {
-            if (Files.size(file) > LARGEST_FILE) {
-                throw new InvalidFleetFileException(file, 1, "-", "is larger than " + LARGEST_FILE + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new InvalidFleetFileException(file, 1, "-", "is larger than " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readString(file);
         } catch (CharacterCodingException e) {
@@ -98,67 +98,67 @@
         }
     }
 
-    private SortedMap<String, InetSocketAddress> members() throws InvalidFleetFileException {
+    private SortedMap<String, InetSocketAddress> readMembers() throws InvalidFleetFileException {
         Object value = toml.get(List.of("member"));
         if (value == null) {
-            throw bad(toml, "", "member", "is missing: no router is named");
+            throw invalid(toml, "", "member", "is missing: no router is named");
         }
         if (!(value instanceof TomlArray array)
                 || array.isEmpty()
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw bad(toml, "", "member", "must be tables, each under [[member]]");
+            throw invalid(toml, "", "member", "must be tables, each under [[member]]");
         }
-        if (array.size() > MOST_MEMBERS) {
-            throw bad(toml, "", "member", array.size() + " routers are named; at most " + MOST_MEMBERS);
+        if (array.size() > MAX_MEMBERS) {
+            throw invalid(toml, "", "member", array.size() + " routers are named; at most " + MAX_MEMBERS);
         }
         SortedMap<String, InetSocketAddress> members = new TreeMap<>();
-        Map<InetSocketAddress, String> names = new HashMap<>();
+        Map<InetSocketAddress, String> ownersByAddress = new HashMap<>();
         for (int i = 0; i < array.size(); i++) {
             TomlTable table = array.getTable(i);
-            String at = "member[" + i + "].";
-            known(table, at, MEMBER_KEYS);
-            String name = string(table, at, "name");
-            if (!NAME.matcher(name).matches()) {
-                throw bad(
+            String prefix = "member[" + i + "].";
+            rejectUnknownKeys(table, prefix, MEMBER_KEYS);
+            String name = requireString(table, prefix, "name");
+            if (!NAME_PATTERN.matcher(name).matches()) {
+                throw invalid(
                         table,
-                        at,
+                        prefix,
                         "name",
                         "must be 1 to 32 lower-case letters, digits and dashes, with no dash at either end");
             }
-            InetSocketAddress address = address(table, at, "address");
+            InetSocketAddress address = address(table, prefix, "address");
             if (members.putIfAbsent(name, address) != null) {
-                throw bad(table, at, "name", "'" + name + "' is named before");
+                throw invalid(table, prefix, "name", "'" + name + "' is named before");
             }
-            String other = names.putIfAbsent(address, name);
-            if (other != null) {
-                throw bad(table, at, "address", "is that of " + other);
+            String owner = ownersByAddress.putIfAbsent(address, name);
+            if (owner != null) {
+                throw invalid(table, prefix, "address", "is that of " + owner);
             }
         }
         return members;
     }
 
-    /** Figures only: a look-up would block, and may give two routers two answers. */
-    private InetSocketAddress address(TomlTable table, String at, String key) throws InvalidFleetFileException {
-        String value = string(table, at, key);
-        Matcher figures = FIGURES.matcher(value);
-        if (!figures.matches()) {
-            throw bad(table, at, key, "'" + value + "' is no IPv4 address in figures with a port");
+    /** Accepts numeric addresses only: a DNS lookup would block, and could differ between two routers. */
+    private InetSocketAddress address(TomlTable table, String prefix, String key) throws InvalidFleetFileException {
+        String value = requireString(table, prefix, key);
+        Matcher matcher = ADDRESS_PATTERN.matcher(value);
+        if (!matcher.matches()) {
+            throw invalid(table, prefix, key, "'" + value + "' is no IPv4 address in figures with a port");
         }
         byte[] bytes = new byte[4];
         for (int i = 0; i < 4; i++) {
-            int figure = Integer.parseInt(figures.group(i + 1));
-            if (figure > 255
-                    || figures.group(i + 1).length() > 1 && figures.group(i + 1).startsWith("0")) {
-                throw bad(table, at, key, "'" + value + "' is no IPv4 address in figures with a port");
+            int octet = Integer.parseInt(matcher.group(i + 1));
+            if (octet > 255
+                    || matcher.group(i + 1).length() > 1 && matcher.group(i + 1).startsWith("0")) {
+                throw invalid(table, prefix, key, "'" + value + "' is no IPv4 address in figures with a port");
             }
-            bytes[i] = (byte) figure;
+            bytes[i] = (byte) octet;
         }
-        int port = Integer.parseInt(figures.group(5));
+        int port = Integer.parseInt(matcher.group(5));
         if (port < 1 || port > 65_535) {
-            throw bad(table, at, key, "port " + port + " does not lie between 1 and 65535");
+            throw invalid(table, prefix, key, "port " + port + " does not lie between 1 and 65535");
         }
         if (bytes[0] == 0 || (bytes[0] & 0xe0) == 0xe0) {
-            throw bad(table, at, key, "'" + value + "' is no address of one machine");
+            throw invalid(table, prefix, key, "'" + value + "' is no address of one machine");
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
@@ -167,54 +167,57 @@
         }
     }
 
-    private Duration millis(String key, long absent, long least, long most) throws InvalidFleetFileException {
+    private Duration readMillis(String key, long defaultMillis, long min, long max) throws InvalidFleetFileException {
         Object value = toml.get(List.of(key));
         if (value == null) {
-            return Duration.ofMillis(absent);
+            return Duration.ofMillis(defaultMillis);
         }
         if (!(value instanceof Long n)) {
-            throw bad(toml, "", key, "must be a whole number of milliseconds");
+            throw invalid(toml, "", key, "must be a whole number of milliseconds");
         }
-        if (n < least || n > most) {
-            throw bad(toml, "", key, n + " does not lie between " + least + " and " + most);
+        if (n < min || n > max) {
+            throw invalid(toml, "", key, n + " does not lie between " + min + " and " + max);
         }
         return Duration.ofMillis(n);
     }
 
-    /** Beside the file itself where it is not absolute; null where the key is absent. */
+    /** Resolves a relative path against the directory of the file; returns null if the key is absent. */
     private Path path(String key) throws InvalidFleetFileException {
         if (!toml.contains(List.of(key))) {
             return null;
         }
-        String name = string(toml, "", key);
+        String name = requireString(toml, "", key);
         if (name.isBlank()) {
-            throw bad(toml, "", key, "names no file");
+            throw invalid(toml, "", key, "names no file");
         }
         try {
             return file.resolveSibling(name);
         } catch (InvalidPathException e) {
-            throw bad(toml, "", key, "is no name of a file");
+            throw invalid(toml, "", key, "is no name of a file");
         }
     }
 
-    private String string(TomlTable table, String at, String key) throws InvalidFleetFileException {
+    private String requireString(TomlTable table, String prefix, String key) throws InvalidFleetFileException {
         Object value = table.get(List.of(key));
         if (!(value instanceof String text)) {
-            throw bad(table, at, key, value == null ? "is missing" : "must be a text");
+            throw invalid(table, prefix, key, value == null ? "is missing" : "must be a text");
         }
         return text;
     }
 
-    private void known(TomlTable table, String at, List<String> keys) throws InvalidFleetFileException {
+    private void rejectUnknownKeys(TomlTable table, String prefix, List<String> keys) throws InvalidFleetFileException {
         for (String key : table.keySet()) {
             if (!keys.contains(key)) {
-                throw bad(table, at, key, "is unknown; known here: " + String.join(", ", keys));
+                throw invalid(table, prefix, key, "is unknown; known here: " + String.join(", ", keys));
             }
         }
     }
 
-    /** Where the key is absent, the line is that of the table's first key, or the first of the file. */
-    private InvalidFleetFileException bad(TomlTable table, String at, String key, String wrong) {
+    /**
+     * Creates the exception for an invalid key. If the key is absent, the line is that of the table's first key, or the
+     * first line of the file.
+     */
+    private InvalidFleetFileException invalid(TomlTable table, String prefix, String key, String problem) {
         Stream<String> keys = table.contains(List.of(key))
                 ? Stream.of(key)
                 : table == toml ? Stream.empty() : table.keySet().stream();
@@ -222,15 +225,15 @@
                 .mapToInt(TomlPosition::line)
                 .min()
                 .orElse(1);
-        return new InvalidFleetFileException(file, line, at + Toml.joinKeyPath(List.of(key)), wrong);
+        return new InvalidFleetFileException(file, line, prefix + Toml.joinKeyPath(List.of(key)), problem);
     }
 
-    /** Of what has to be the same at all routers. */
+    /** Returns a hash of the values that must be equal on all routers. */
     private static String hash(Set<String> names, Duration lease, Duration skew) {
         String text = String.join(",", names) + ";" + lease.toMillis() + ";" + skew.toMillis();
         try {
-            byte[] sum = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(sum, 0, 8);
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(digest, 0, 8);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/router/src/main/java/stagepier/fleet/FleetRpc.java
+++ b/router/src/main/java/stagepier/fleet/FleetRpc.java
@@ -3,15 +3,18 @@
 import java.time.Duration;
 
 /**
- * Calls between the routers that {@code fleet.toml} names. A call is a message and waits for the reply; the one that is called
- * answers on the task of that link. Calls to one member go out in their order; a call that is out keeps no other one from
- * being made.
+ * Remote calls between the routers that {@code fleet.toml} names. A call sends a message and waits for the reply; the
+ * called member handles it on the task of that link. Calls to one member are sent in order, and a pending call does not
+ * block further calls.
  */
 public interface FleetRpc {
-    /** Longest message in bytes, as written. */
+    /** Maximum size of an encoded message in bytes. */
     int MAX_MESSAGE_BYTES = 64 * 1024;
 
-    /** No reply came in time, or the link broke, or could not be opened; the call may have been heard. */
+    /**
+     * Thrown when no reply arrives in time, the link breaks or cannot be opened. The called member may have received
+     * the call.
+     */
     final class NoReplyException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -20,30 +23,30 @@
         }
     }
 
-    /** Answers the calls for one part. */
+    /** Handles the calls of one message family, such as {@code view}. */
     @FunctionalInterface
     interface Handler {
         /**
-         * Must not wait for another member: two that wait for each other stand still.
+         * Handles a call. Must not wait for another member: two members that wait for each other would deadlock.
          *
-         * @param from name of the member that calls
+         * @param from name of the calling member
          * @return the reply
-         * @throws Message.MalformedException the call makes no sense; the link is closed and that is counted
+         * @throws Message.MalformedException if the call is malformed; the link is closed and the event is counted
          */
         Message answer(String from, Message call) throws Message.MalformedException, InterruptedException;
     }
 
-    /** Before {@link #start()}, once a part. */
-    void answer(String part, Handler answerer);
+    /** Registers the handler of a message family. Called once for each family, before {@link #start()}. */
+    void answer(String part, Handler handler);
 
-    /** From here on others are heard. */
+    /** Starts to accept and to make calls. */
     void start();
 
     /**
      * Calls a member and waits for its reply.
      *
-     * @throws NoReplyException      no reply in time
-     * @throws InterruptedException the tasks are being stopped
+     * @throws NoReplyException     if no reply arrives within the timeout
+     * @throws InterruptedException if the tasks are being stopped
      */
-    Message call(String member, Message message, Duration most) throws NoReplyException, InterruptedException;
+    Message call(String member, Message message, Duration timeout) throws NoReplyException, InterruptedException;
 }
--- a/router/src/main/java/stagepier/fleet/FleetService.java
+++ b/router/src/main/java/stagepier/fleet/FleetService.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** A part of the fleet's work beside the event loop: the view, the calendar, the shadow. */
+/** A service of the fleet that runs outside the event loop: the view, the calendar or the shadow map. */
 public interface FleetService {
-    /** Registers what it answers and starts its tasks; before {@link FleetRpc#start()}. */
+    /** Registers the handlers of this service and starts its tasks. Called before {@link FleetRpc#start()}. */
     void start();
 
-    /** Staff have had the files read again (SIGHUP). What makes no sense is logged, and what was in force stays. */
+    /** Reads the files again after a SIGHUP. An invalid file is logged, and the content in force stays in force. */
     void reload();
 
-    /** One line each for {@code STATUS}; from any thread. */
+    /** Returns the lines for {@code STATUS}. May be called from any thread. */
     List<String> status();
 }
--- a/router/src/main/java/stagepier/fleet/FrameCodec.java
+++ b/router/src/main/java/stagepier/fleet/FrameCodec.java
@@ -13,25 +13,25 @@
 import java.util.Arrays;
 
 /**
- * What goes over a link: JSON records, one a line, in UTF-8. Reading holds no more than the longest line; whoever says more is not
- * listened to further.
+ * Encodes and decodes the frames of a link: JSON records in UTF-8, one per line. The reader buffers at most one line of
+ * the maximum length; a longer line is malformed.
  */
 final class FrameCodec {
     private static final Gson GSON =
             new GsonBuilder().setStrictness(Strictness.STRICT).create();
-    /** Beyond the message itself: its number on the link. */
-    private static final int LONGEST_LINE = FleetRpc.MAX_MESSAGE_BYTES + 64;
+    /** The 64 bytes beyond the message hold its number on the link. */
+    private static final int MAX_LINE_BYTES = FleetRpc.MAX_MESSAGE_BYTES + 64;
 
-    private static final int USUAL = 4 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 4 * 1024;
 
-    /** The first line of who called up: who it is, whom it takes this for, and which fleet it knows. */
+    /** First frame on a link, from the side that opened it: its name, the expected member, its configuration hash. */
     record Hello(String name, String target, String configuration) {}
 
-    /** A call or its reply, which has the same number. A reply of no kind says that nobody here answers such a call. */
+    /** A call, or its reply with the same number. A reply without a kind means that no handler exists for the call. */
     record Frame(long id, String kind, JsonElement body) {}
 
     private final InputStream in;
-    private byte[] buffer = new byte[USUAL];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int to;
 
@@ -40,25 +40,25 @@
     }
 
     /**
-     * Waits for a record.
+     * Waits for the next record.
      *
-     * @throws EOFException               the other side has closed the link
-     * @throws Message.MalformedException it is no such record, or too long
+     * @throws EOFException               if the other side has closed the link
+     * @throws Message.MalformedException if the line is not a record of this type, or is too long
      */
     <T> T next(Class<T> type) throws IOException, Message.MalformedException {
-        int seen = from;
+        int scanned = from;
         for (; ; ) {
-            for (int i = seen; i < to; i++) {
+            for (int i = scanned; i < to; i++) {
                 if (buffer[i] == '\n') {
                     String line = new String(buffer, from, i - from, StandardCharsets.UTF_8);
                     from = i + 1;
                     return parse(line, type);
                 }
             }
-            if (to - from > LONGEST_LINE) {
-                throw new Message.MalformedException("a line of more than " + LONGEST_LINE + " bytes");
+            if (to - from > MAX_LINE_BYTES) {
+                throw new Message.MalformedException("line exceeds " + MAX_LINE_BYTES + " bytes");
             }
-            seen = makeRoom();
+            scanned = compactBuffer();
             int n = in.read(buffer, to, buffer.length - to);
             if (n < 0) {
                 throw new EOFException();
@@ -67,38 +67,47 @@
         }
     }
 
-    /** Moves what is begun to the front, in as much room as it needs; says up to where there is no end of line in it. */
-    private int makeRoom() {
-        int begun = to - from;
-        byte[] before = buffer;
-        if (begun == 0 && buffer.length > USUAL) {
-            buffer = new byte[USUAL];
-        } else if (begun == buffer.length) {
-            buffer = new byte[Math.min(2 * buffer.length, LONGEST_LINE + 1)];
+    /**
+     * Moves the incomplete line to the front of the buffer, which grows or shrinks as needed.
+     *
+     * @return the number of bytes of the incomplete line, which contain no line end
+     */
+    private int compactBuffer() {
+        int incomplete = to - from;
+        byte[] previous = buffer;
+        if (incomplete == 0 && buffer.length > INITIAL_BUFFER_BYTES) {
+            buffer = new byte[INITIAL_BUFFER_BYTES];
+        } else if (incomplete == buffer.length) {
+            buffer = new byte[Math.min(2 * buffer.length, MAX_LINE_BYTES + 1)];
         }
-        System.arraycopy(before, from, buffer, 0, begun);
+        System.arraycopy(previous, from, buffer, 0, incomplete);
         from = 0;
-        to = begun;
-        return begun;
+        to = incomplete;
+        return incomplete;
     }
 
     private static <T> T parse(String line, Class<T> type) throws Message.MalformedException {
         try {
             T record = GSON.fromJson(line, type);
             if (record == null) {
-                throw new Message.MalformedException("an empty line");
+                throw new Message.MalformedException("empty line");
             }
             return record;
         } catch (JsonParseException | IllegalArgumentException e) {
-            throw new Message.MalformedException("no " + type.getSimpleName());
+            throw new Message.MalformedException("not a valid " + type.getSimpleName());
         }
     }
 
-    /** @throws IllegalArgumentException longer than {@link FleetRpc#MAX_MESSAGE_BYTES}: a fault of the part that made it */
-    static byte[] written(Object record) {
+    /**
+     * Encodes a record as one line.
+     *
+     * @throws IllegalArgumentException if the record is longer than {@link FleetRpc#MAX_MESSAGE_BYTES}, a fault of the
+     *                                  service that created it
+     */
+    static byte[] encode(Object record) {
         byte[] text = GSON.toJson(record).getBytes(StandardCharsets.UTF_8);
-        if (text.length > LONGEST_LINE) {
-            throw new IllegalArgumentException("a message of " + text.length + " bytes");
+        if (text.length > MAX_LINE_BYTES) {
+            throw new IllegalArgumentException("message of " + text.length + " bytes exceeds the limit");
         }
         byte[] line = Arrays.copyOf(text, text.length + 1);
         line[text.length] = '\n';
@@ -106,6 +115,6 @@
     }
 
     static void write(OutputStream out, Object record) throws IOException {
-        out.write(written(record));
+        out.write(encode(record));
     }
 }
--- a/router/src/main/java/stagepier/fleet/InvalidFleetFileException.java
+++ b/router/src/main/java/stagepier/fleet/InvalidFleetFileException.java
@@ -1,14 +1,15 @@
 package stagepier.fleet;
 
-/** An operators' file that cannot be taken; the message is one line: file, line, key, and what is wrong. */
+/** Thrown when a file maintained by operators is invalid; the message is one line with file, line, key and problem. */
 public final class InvalidFleetFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * @param line counted from 1
-     * @param key  with its table, or {@code -} where the fault is in no key
+     * @param line    line number, counted from 1
+     * @param key     key with its table, or {@code -} if the error belongs to no key
+     * @param problem description of the error
      */
-    public InvalidFleetFileException(Object file, int line, String key, String wrong) {
-        super((file + ": line " + line + ": key " + key + ": " + wrong).replaceAll("\\s+", " "));
+    public InvalidFleetFileException(Object file, int line, String key, String problem) {
+        super((file + ": line " + line + ": key " + key + ": " + problem).replaceAll("\\s+", " "));
     }
 }
--- a/router/src/main/java/stagepier/fleet/LocalHealth.java
+++ b/router/src/main/java/stagepier/fleet/LocalHealth.java
@@ -3,52 +3,58 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether this router itself is slow: a process that gets its core late, or stood still, must not hold that against others
- * (Dadgar, Phillips and Currey, <i>Lifeguard: local health awareness for more accurate failure detection</i>, 2018).
+ * Tracks whether this router itself is slow: a process that is scheduled late, or was stopped for a while, must not
+ * count its own delay as silence of other members (Dadgar, Phillips and Currey, <i>Lifeguard: local health awareness
+ * for more accurate failure detection</i>, 2018).
  */
 final class LocalHealth {
-    private static final long LATE_NS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long STALL_NS = TimeUnit.MILLISECONDS.toNanos(300);
-    private static final long BETTER_NS = TimeUnit.SECONDS.toNanos(1);
-    private static final int WORST = 4;
+    private static final long LATE_THRESHOLD_NS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long STALL_THRESHOLD_NS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long RECOVERY_INTERVAL_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final int MAX_SCORE = 4;
 
     private int lateScore;
-    private int silentScore;
+    private int suspectedScore;
     private long lateAt;
-    private long silentAt;
+    private long suspectedAt;
 
     /**
-     * @param late by how much a wait took longer than it should have, in nanoseconds
-     * @return whether that was a stall, after which what this router heard before says nothing
+     * Records how late a wait ended.
+     *
+     * @param late time in nanoseconds by which the wait took longer than requested
+     * @return whether this was a stall, after which replies and silence from before are no longer meaningful
      */
-    boolean waited(long late, long now) {
-        if (late > LATE_NS) {
-            lateScore = Math.min(WORST, lateScore + 1);
+    boolean recordWait(long late, long now) {
+        if (late > LATE_THRESHOLD_NS) {
+            lateScore = Math.min(MAX_SCORE, lateScore + 1);
             lateAt = now;
-        } else if (lateScore > 0 && now - lateAt > BETTER_NS) {
+        } else if (lateScore > 0 && now - lateAt > RECOVERY_INTERVAL_NS) {
             lateScore--;
             lateAt = now;
         }
-        if (silentScore > 0 && now - silentAt > BETTER_NS) {
-            silentScore--;
-            silentAt = now;
+        if (suspectedScore > 0 && now - suspectedAt > RECOVERY_INTERVAL_NS) {
+            suspectedScore--;
+            suspectedAt = now;
         }
-        return late > STALL_NS;
+        return late > STALL_THRESHOLD_NS;
     }
 
-    /** Others found this router silent, and it was not. */
-    void wasSuspected(long now) {
-        silentScore = Math.min(WORST, silentScore + 1);
-        silentAt = now;
+    /** Records that other members suspected this router although it was running. */
+    void recordSuspicion(long now) {
+        suspectedScore = Math.min(MAX_SCORE, suspectedScore + 1);
+        suspectedAt = now;
     }
 
-    /** By what it is longer until silence counts: 1 to 2. Only its own lateness tells: a cut link makes others suspect it as well. */
-    double timeoutFactor() {
-        return 1 + (double) lateScore / WORST;
+    /**
+     * Returns the factor, from 1 to 2, by which silence thresholds are extended. Only the lateness of this process
+     * counts, since others also suspect this router when a link is cut.
+     */
+    double silenceFactor() {
+        return 1 + (double) lateScore / MAX_SCORE;
     }
 
-    /** By what an answer is waited for longer: 1 to 2. */
-    double waitLonger() {
-        return 1 + (double) Math.max(lateScore, silentScore / 2) / WORST;
+    /** Returns the factor, from 1 to 2, by which the timeout of a probe is extended. */
+    double probeTimeoutFactor() {
+        return 1 + (double) Math.max(lateScore, suspectedScore / 2) / MAX_SCORE;
     }
 }
--- a/router/src/main/java/stagepier/fleet/MemberTable.java
+++ b/router/src/main/java/stagepier/fleet/MemberTable.java
@@ -12,39 +12,47 @@
 import stagepier.fleet.MembershipMessages.MemberUpdate;
 
 /**
- * The rules of the view. Of two that speak of one member the higher incarnation holds, and in one incarnation the later of alive,
- * suspect, gone, left: so news may come twice, late and in any order. A member itself contradicts that it is suspect or gone by a
- * higher incarnation (Das, Gupta and Motivala, <i>SWIM: scalable weakly-consistent infection-style process group membership
- * protocol</i>, 2002). What counts as heard is a call that was answered, here or by somebody who tells so: whose words do not get out
- * has no answers, and whom no words reach gives none; both are out. Two that cannot call each other are both in, as long as others
- * tell of each to the other.
+ * The rules of the membership view. Of two updates about one member the higher incarnation wins, and within one
+ * incarnation the later state in the order alive, suspect, gone, left; updates may therefore arrive twice, late and in
+ * any order. A member refutes that it is suspect or gone by a higher incarnation (Das, Gupta and Motivala, <i>SWIM:
+ * scalable weakly-consistent infection-style process group membership protocol</i>, 2002). Only an answered call, of
+ * this router or of another router that reports it, counts as contact with a member. A member whose messages are lost
+ * receives no answers, and a member that receives no messages gives none; both become gone. Two members that cannot
+ * call each other both stay active as long as others report each of them to the other.
  *
- * <p>Every method is to be called by who holds this object's monitor, and none waits.
+ * <p>The caller of every method must hold this object's monitor; no method waits.
  */
 final class MemberTable {
-    /** How long it stays suspect where nobody else found it silent, and where as many did as are counted. */
-    static final long SUSPECT_MOST_NS = Peers.ms(800);
-
-    static final long SUSPECT_LEAST_NS = Peers.ms(400);
-    static final int MOST_CONFIRM = 3;
-    /** By what doubt is longer for one that is heard of through others only, for so long at least. */
-    private static final double BRIDGED = 1.35;
-
-    private static final long BRIDGED_NS = Peers.ms(300);
-    /** The part of doubt from which it is called out of turn. */
-    private static final double REFRESH = 0.45;
-
-    private static final long CONTRADICT_AGAIN_NS = Peers.ms(100);
-    /** So many calls to members that are in went unanswered, and no call was answered since before doubt: then all are silent alike. */
-    private static final int LAST_CALLS = 8;
+    /** Time that a member stays suspect if no other router confirms the suspicion. */
+    static final long MAX_SUSPICION_NS = Peers.ms(800);
+
+    /** Time that a member stays suspect with the maximum number of confirmations. */
+    static final long MIN_SUSPICION_NS = Peers.ms(400);
+    /** Number of suspecting routers from which the minimum time applies. */
+    static final int MAX_CONFIRMATIONS = 3;
+    /** Factor by which the silence threshold is longer for a member that is in contact with other routers only. */
+    private static final double INDIRECT_FACTOR = 1.35;
+
+    /** Minimum time of contact through other routers only, from which that factor applies. */
+    private static final long MIN_INDIRECT_NS = Peers.ms(300);
+    /** Fraction of the silence threshold after which a member is probed out of turn. */
+    private static final double EARLY_PROBE_FRACTION = 0.45;
+
+    /** Minimum time between two increases of this router's own incarnation. */
+    private static final long REFUTE_INTERVAL_NS = Peers.ms(100);
+    /**
+     * Number of consecutive unanswered calls to active members after which this router counts as cut off, if also no
+     * call has been answered within the silence threshold. The silence of every member then counts as confirmed.
+     */
+    private static final int CUT_OFF_CALLS = 8;
 
     private final FleetConfig config;
     private final Peers peers;
-    private final ProbeOrder turns;
-    private final MemberUpdates told;
+    private final ProbeOrder probeOrder;
+    private final MemberUpdates updates;
     private final LocalHealth health = new LocalHealth();
-    private long contradictedAt;
-    private int lastCalls = ~0;
+    private long refutedAt;
+    private int recentResults = ~0;
     private long lastAnswerAt;
     private int stalls;
     private long epoch;
@@ -55,18 +63,18 @@
     MemberTable(FleetConfig config, long incarnation, long now, Random random) {
         this.config = config;
         peers = new Peers(config, incarnation, now, random);
-        turns = new ProbeOrder(peers, random);
-        told = new MemberUpdates(peers, random);
-        contradictedAt = Peers.longBefore(now);
+        probeOrder = new ProbeOrder(peers, random);
+        updates = new MemberUpdates(peers, random);
+        refutedAt = Peers.distantPast(now);
         lastAnswerAt = now;
     }
 
-    ProbeOrder turns() {
-        return turns;
+    ProbeOrder probeOrder() {
+        return probeOrder;
     }
 
-    MemberUpdates news() {
-        return told;
+    MemberUpdates updates() {
+        return updates;
     }
 
     long incarnation() {
@@ -77,12 +85,12 @@
         return stalls;
     }
 
-    /** By what an answer is waited for longer than it would be. */
-    double waitLonger() {
-        return health.waitLonger();
+    /** Returns the factor by which the timeout of a probe is extended. */
+    double probeTimeoutFactor() {
+        return health.probeTimeoutFactor();
     }
 
-    boolean isMember(String name) {
+    boolean isOtherMember(String name) {
         return peers.other(name) != null;
     }
 
@@ -90,40 +98,40 @@
         if (!facts.equals(peers.self.facts)) {
             peers.self.facts = facts;
             peers.self.factsVersion++;
-            peers.self.tellFacts = peers.tellTimes;
+            peers.self.factsSendsLeft = peers.sendLimit;
             changed = true;
         }
     }
 
     void leave() {
         peers.self.state = State.LEFT;
-        peers.self.tell = peers.tellTimes;
+        peers.self.sendsLeft = peers.sendLimit;
         stateChanged = true;
     }
 
-    // What is heard.
+    // Results of calls, and updates from other members.
 
-    /** A member answered this router's call, which was sent then. */
-    void answered(String name, long sentAt) {
-        lastCalls = lastCalls << 1 | 1;
+    /** Records that a member answered a call that this router sent at the given time. */
+    void recordReply(String name, long sentAt) {
+        recentResults = recentResults << 1 | 1;
         lastAnswerAt = Math.max(lastAnswerAt, sentAt);
         Peer p = peers.other(name);
         p.answeredAt = Math.max(p.answeredAt, sentAt);
-        p.heardAt = Math.max(p.heardAt, sentAt);
+        p.lastContactAt = Math.max(p.lastContactAt, sentAt);
     }
 
-    /** Ages in milliseconds, as of no later than the given time, that another told. */
-    void heardOfOthers(Map<String, Integer> ages, long sentAt) {
+    /** Records when members last answered other routers: ages in milliseconds, measured at or after the given time. */
+    void recordAges(Map<String, Integer> ages, long sentAt) {
         ages.forEach((name, age) -> {
             Peer p = peers.other(name);
             if (p != null && age != null && age >= 0) {
-                p.heardAt = Math.max(p.heardAt, sentAt - Peers.ms(age));
+                p.lastContactAt = Math.max(p.lastContactAt, sentAt - Peers.ms(age));
             }
         });
     }
 
-    /** Whom a relay can call itself. */
-    void reachedBy(String relay, List<String> names) {
+    /** Records the members that a relay can call directly. */
+    void recordReachable(String relay, List<String> names) {
         for (String name : names) {
             Peer p = name == null ? null : peers.other(name);
             if (p != null && !name.equals(relay)) {
@@ -132,217 +140,239 @@
         }
     }
 
-    /** This router's call, sent then, had no answer in time; a stall of its own since then makes that worthless. */
-    void silent(String name, long sentAt, int stallsThen) {
-        if (stalls == stallsThen) {
+    /**
+     * Records that a call of this router, sent at the given time, was not answered in time. It is ignored if this
+     * process has stalled since then.
+     */
+    void recordTimeout(String name, long sentAt, int stallsAtSend) {
+        if (stalls == stallsAtSend) {
             Peer p = peers.other(name);
-            p.failsSince = p.failsHere() ? p.failsSince : sentAt;
+            p.unresponsiveSince = p.isUnresponsive() ? p.unresponsiveSince : sentAt;
             p.failedAt = sentAt;
-            if (p.isIn()) {
-                lastCalls <<= 1;
+            if (p.isActive()) {
+                recentResults <<= 1;
             }
         }
     }
 
-    /** How long ago a member was last heard, in milliseconds; -1 where it is long, or it does not answer here. */
+    /**
+     * Returns the milliseconds since the last contact with a member; -1 if that exceeds the silence threshold or the
+     * member does not answer this router.
+     */
     long age(String name, long now) {
         Peer p = peers.other(name);
-        return p == null || p.failsHere() || now - p.heardAt > peers.doubt
+        return p == null || p.isUnresponsive() || now - p.lastContactAt > peers.silenceLimit
                 ? -1
-                : TimeUnit.NANOSECONDS.toMillis(now - p.heardAt) + 1;
+                : TimeUnit.NANOSECONDS.toMillis(now - p.lastContactAt) + 1;
     }
 
-    void apply(String from, Collection<MemberUpdate> news, long now) {
-        if (news != null) {
-            news.forEach(n -> apply(from, n, now));
+    void apply(String from, Collection<MemberUpdate> batch, long now) {
+        if (batch != null) {
+            batch.forEach(update -> apply(from, update, now));
         }
     }
 
-    /** What a member, or one that answers, says of its own incarnation. */
+    /** Applies the incarnation that a member reports about itself in a call or a reply. */
     void applyAlive(String name, long incarnation, long now) {
         apply(name, new MemberUpdate(name, incarnation, State.ALIVE.ordinal(), null, 0, null), now);
     }
 
-    void apply(String from, MemberUpdate news, long now) {
-        if (news == null
-                || news.member() == null
-                || news.incarnation() <= 0
-                || news.state() < 0
-                || news.state() >= State.values().length) {
+    void apply(String from, MemberUpdate update, long now) {
+        if (update == null
+                || update.member() == null
+                || update.incarnation() <= 0
+                || update.state() < 0
+                || update.state() >= State.values().length) {
             return;
         }
-        if (news.member().equals(peers.self.name)) {
-            hearOfSelf(news, now);
+        if (update.member().equals(peers.self.name)) {
+            applyToSelf(update, now);
             return;
         }
-        Peer p = peers.other(news.member());
+        Peer p = peers.other(update.member());
         if (p == null) {
             return;
         }
-        if (news.facts() != null && news.factsVersion() > p.factsVersion) {
-            p.facts = news.facts();
-            p.factsVersion = news.factsVersion();
-            p.tellFacts = peers.tellTimes;
+        if (update.facts() != null && update.factsVersion() > p.factsVersion) {
+            p.facts = update.facts();
+            p.factsVersion = update.factsVersion();
+            p.factsSendsLeft = peers.sendLimit;
             changed = true;
         }
-        State state = State.values()[news.state()];
-        int newer = p.compare(news.incarnation(), state);
-        boolean ill = state == State.SUSPECT || state == State.GONE;
-        if (newer > 0 && state == State.ALIVE && !p.isIn() && p.heardAt <= p.outSince) {
-            sayAlive(p, news.incarnation());
-        } else if (newer > 0 && ill && isRefused(from, p, now)) {
-            refuse(p, news, now);
+        State state = State.values()[update.state()];
+        int newer = p.compare(update.incarnation(), state);
+        boolean suspectOrGone = state == State.SUSPECT || state == State.GONE;
+        if (newer > 0 && state == State.ALIVE && !p.isActive() && p.lastContactAt <= p.inactiveSince) {
+            recordUnconfirmed(p, update.incarnation());
+        } else if (newer > 0 && suspectOrGone && isDisputed(from, p, now)) {
+            recordClaim(p, update, now);
         } else if (newer > 0) {
-            take(p, news.incarnation(), state, now);
+            setState(p, update.incarnation(), state, now);
         }
-        if (p.compare(news.incarnation(), state) == 0 && state == State.SUSPECT && news.suspectedBy() != null) {
-            news.suspectedBy().forEach(name -> confirm(p, name));
+        if (p.compare(update.incarnation(), state) == 0 && state == State.SUSPECT && update.suspectedBy() != null) {
+            update.suspectedBy().forEach(name -> addSuspecter(p, name));
         }
     }
 
-    /** Who was heard a moment ago is not silent, whoever says so; nor does the word of one count that is itself out. */
-    private boolean isRefused(String from, Peer p, long now) {
-        Peer teller = peers.other(from);
-        return now - p.heardAt < peers.doubt || teller != null && !teller.isIn();
+    /**
+     * Returns whether an update that a member is suspect or gone is disputed: the last contact with the member lies
+     * within the silence threshold, or the sender of the update is not active itself.
+     */
+    private boolean isDisputed(String from, Peer p, long now) {
+        Peer sender = peers.other(from);
+        return now - p.lastContactAt < peers.silenceLimit || sender != null && !sender.isActive();
     }
 
-    /** Its words come in, but nobody here had an answer from it: told on, and taken when somebody has. */
-    private void sayAlive(Peer p, long incarnation) {
-        if (incarnation > p.saidAlive) {
-            p.saidAlive = incarnation;
-            p.tell = peers.tellTimes;
+    /**
+     * Records an incarnation whose messages arrive although no answer from it is known yet. It is forwarded, and
+     * becomes effective when this router or another has received an answer.
+     */
+    private void recordUnconfirmed(Peer p, long incarnation) {
+        if (incarnation > p.unconfirmedIncarnation) {
+            p.unconfirmedIncarnation = incarnation;
+            p.sendsLeft = peers.sendLimit;
         }
     }
 
-    private void refuse(Peer p, MemberUpdate claim, long now) {
+    private void recordClaim(Peer p, MemberUpdate claim, long now) {
         if (claim.incarnation() > p.incarnation) {
-            take(p, claim.incarnation(), State.ALIVE, p.countsFrom);
+            setState(p, claim.incarnation(), State.ALIVE, p.silenceCountsFrom);
         }
         if (p.claim == null
                 || claim.incarnation() > p.claim.incarnation()
                 || claim.incarnation() == p.claim.incarnation() && claim.state() > p.claim.state()) {
             p.claim = new MemberUpdate(claim.member(), claim.incarnation(), claim.state(), List.of(), 0, null);
-            p.tellClaim = peers.tellTimes;
-            turns.hint(p, now);
+            p.claimSendsLeft = peers.sendLimit;
+            probeOrder.prioritize(p, now);
         }
     }
 
-    private void take(Peer p, long incarnation, State state, long now) {
+    private void setState(Peer p, long incarnation, State state, long now) {
         if (incarnation > p.incarnation) {
-            // Its own word, from after the last one that is held: its silence counts from here.
-            p.countsFrom = now;
-            if (!p.isIn()) {
+            // Only the member itself raises its incarnation, so its silence counts from here.
+            p.silenceCountsFrom = now;
+            if (!p.isActive()) {
                 p.failedAt = Math.min(p.failedAt, p.answeredAt);
             }
         }
-        if (p.isIn() && state != State.ALIVE && state != State.SUSPECT) {
-            p.outSince = now;
+        if (p.isActive() && state != State.ALIVE && state != State.SUSPECT) {
+            p.inactiveSince = now;
         }
         p.incarnation = incarnation;
         p.state = state;
         p.suspectedBy.clear();
         p.suspectSince = now;
-        p.tell = peers.tellTimes;
+        p.sendsLeft = peers.sendLimit;
         if (p.claim != null && p.compare(p.claim.incarnation(), State.values()[p.claim.state()]) <= 0) {
             p.claim = null;
         }
         stateChanged = true;
     }
 
-    private void confirm(Peer p, String name) {
-        if (p.suspectedBy.size() < MOST_CONFIRM && config.members().containsKey(name) && p.suspectedBy.add(name)) {
-            p.tell = peers.tellTimes;
+    private void addSuspecter(Peer p, String name) {
+        if (p.suspectedBy.size() < MAX_CONFIRMATIONS && config.members().containsKey(name) && p.suspectedBy.add(name)) {
+            p.sendsLeft = peers.sendLimit;
         }
     }
 
-    /** Others hold this router to be out, or know an incarnation that is none of this process: above it, so that this one holds. */
-    private void hearOfSelf(MemberUpdate news, long now) {
-        if (news.factsVersion() > peers.self.factsVersion) {
-            peers.self.factsVersion = news.factsVersion() + 1;
-            peers.self.tellFacts = peers.tellTimes;
+    /**
+     * Handles an update about this router. If others consider it suspect or gone, or know a higher incarnation from an
+     * earlier process, this router moves to an incarnation above it, which then wins.
+     */
+    private void applyToSelf(MemberUpdate update, long now) {
+        if (update.factsVersion() > peers.self.factsVersion) {
+            peers.self.factsVersion = update.factsVersion() + 1;
+            peers.self.factsSendsLeft = peers.sendLimit;
         }
-        boolean against = peers.self.compare(news.incarnation(), State.values()[news.state()]) > 0;
-        // Bounded: where two processes have one name, each would go above the other without an end.
-        if (against && now - contradictedAt > CONTRADICT_AGAIN_NS) {
-            contradictedAt = now;
-            if (news.state() == State.SUSPECT.ordinal()) {
-                health.wasSuspected(now);
+        boolean refutes = peers.self.compare(update.incarnation(), State.values()[update.state()]) > 0;
+        // Rate-limited: two processes with the same name would otherwise outbid each other endlessly.
+        if (refutes && now - refutedAt > REFUTE_INTERVAL_NS) {
+            refutedAt = now;
+            if (update.state() == State.SUSPECT.ordinal()) {
+                health.recordSuspicion(now);
             }
-            peers.self.incarnation = news.incarnation() + 1;
-            peers.self.tell = peers.tellTimes;
+            peers.self.incarnation = update.incarnation() + 1;
+            peers.self.sendsLeft = peers.sendLimit;
             stateChanged = true;
         }
     }
 
-    // What goes on with time.
+    // Periodic work.
 
     /**
-     * @param late by how much the wait before it was too long, in nanoseconds
+     * Moves members between states according to their silence and updates the majority.
+     *
+     * @param late time in nanoseconds by which the preceding wait took longer than requested
      */
     void tick(long late, long now) {
-        if (health.waited(late, now)) {
+        if (health.recordWait(late, now)) {
             stalls++;
-            lastCalls = ~0;
+            recentResults = ~0;
             lastAnswerAt = now;
             for (Peer p : peers.others) {
-                p.countsFrom = now;
+                p.silenceCountsFrom = now;
                 p.suspectSince = now;
                 p.failedAt = Math.min(p.failedAt, p.answeredAt);
             }
         }
-        double factor = health.timeoutFactor();
-        boolean cutOff = (lastCalls & (1 << LAST_CALLS) - 1) == 0 && now - lastAnswerAt > peers.doubt;
-        int near = 1;
+        double factor = health.silenceFactor();
+        boolean cutOff = (recentResults & (1 << CUT_OFF_CALLS) - 1) == 0 && now - lastAnswerAt > peers.silenceLimit;
+        int recentContacts = 1;
         for (Peer p : peers.others) {
-            if (p.saidAlive > p.incarnation && p.heardAt > p.outSince) {
-                take(p, p.saidAlive, State.ALIVE, now);
+            if (p.unconfirmedIncarnation > p.incarnation && p.lastContactAt > p.inactiveSince) {
+                setState(p, p.unconfirmedIncarnation, State.ALIVE, now);
             }
-            long silence = now - p.silentFrom();
-            boolean found = p.failsHere() || cutOff;
-            if (p.state == State.ALIVE && silence > peers.doubt * factor * (isBridged(p) ? BRIDGED : 1) && found) {
-                take(p, p.incarnation, State.SUSPECT, now);
-                confirm(p, peers.self.name);
+            long silence = now - p.silentSince();
+            boolean unanswered = p.isUnresponsive() || cutOff;
+            if (p.state == State.ALIVE
+                    && silence > peers.silenceLimit * factor * (isReachedIndirectly(p) ? INDIRECT_FACTOR : 1)
+                    && unanswered) {
+                setState(p, p.incarnation, State.SUSPECT, now);
+                addSuspecter(p, peers.self.name);
             } else if (p.state == State.SUSPECT) {
-                suspect(p, silence, factor, found, now);
-            } else if (p.state == State.ALIVE && silence > REFRESH * peers.doubt) {
-                turns.hint(p, now);
+                checkSuspect(p, silence, factor, unanswered, now);
+            } else if (p.state == State.ALIVE && silence > EARLY_PROBE_FRACTION * peers.silenceLimit) {
+                probeOrder.prioritize(p, now);
             }
-            if (p.isIn() && now - p.heardAt < Peers.MAJORITY_NS) {
-                near++;
+            if (p.isActive() && now - p.lastContactAt < Peers.MAJORITY_WINDOW_NS) {
+                recentContacts++;
             }
         }
-        boolean has = peers.self.state == State.ALIVE && near >= config.majority();
-        changed |= has != majority;
-        majority = has;
+        boolean hasMajority = peers.self.state == State.ALIVE && recentContacts >= config.majority();
+        changed |= hasMajority != majority;
+        majority = hasMajority;
     }
 
-    /** This router cannot call it, but has heard of it since: that comes a longer way. */
-    private static boolean isBridged(Peer p) {
-        return p.failsHere() && p.heardAt - p.failsSince > BRIDGED_NS;
+    /**
+     * Returns whether this router cannot call a member but other routers have reported contact with it since; such
+     * reports take longer to arrive.
+     */
+    private static boolean isReachedIndirectly(Peer p) {
+        return p.isUnresponsive() && p.lastContactAt - p.unresponsiveSince > MIN_INDIRECT_NS;
     }
 
-    private void suspect(Peer p, long silence, double factor, boolean found, long now) {
-        if (silence < peers.doubt) {
-            // It answers somebody; it has to learn of this, to contradict.
+    private void checkSuspect(Peer p, long silence, double factor, boolean unanswered, long now) {
+        if (silence < peers.silenceLimit) {
+            // The member still answers some router; probe it, so that it learns of the suspicion and refutes it.
             p.suspectSince = now;
-            turns.hint(p, now);
+            probeOrder.prioritize(p, now);
             return;
         }
-        if (found) {
-            confirm(p, peers.self.name);
+        if (unanswered) {
+            addSuspecter(p, peers.self.name);
         } else {
-            turns.hint(p, now);
+            probeOrder.prioritize(p, now);
         }
-        double confirmed = Math.log(Math.max(1, p.suspectedBy.size())) / Math.log(MOST_CONFIRM);
-        double wait = (SUSPECT_MOST_NS - confirmed * (SUSPECT_MOST_NS - SUSPECT_LEAST_NS)) * factor;
+        double confirmed = Math.log(Math.max(1, p.suspectedBy.size())) / Math.log(MAX_CONFIRMATIONS);
+        double wait = (MAX_SUSPICION_NS - confirmed * (MAX_SUSPICION_NS - MIN_SUSPICION_NS)) * factor;
         if (now - p.suspectSince > wait) {
-            take(p, p.incarnation, State.GONE, now);
+            setState(p, p.incarnation, State.GONE, now);
         }
     }
 
-    // What is held.
+    // The view.
 
-    /** The view where it is another than the one taken before, else null. */
+    /** Returns the view if it has changed since the last call, otherwise null. */
     FleetView changedView() {
         if (!changed && !stateChanged) {
             return null;
--- a/router/src/main/java/stagepier/fleet/MemberUpdates.java
+++ b/router/src/main/java/stagepier/fleet/MemberUpdates.java
@@ -10,11 +10,11 @@
 import stagepier.fleet.FleetView.State;
 import stagepier.fleet.MembershipMessages.MemberUpdate;
 
-/** What this router tells the others of what it holds. Guarded by its {@link MemberTable}. */
+/** Selects the part of this router's state that is sent to other members. Guarded by its {@link MemberTable}. */
 final class MemberUpdates {
-    private static final int MOST_NEWS = 48;
-    private static final int MOST_HEARD = 128;
-    private static final int MOST_LOST = 32;
+    private static final int MAX_UPDATES = 48;
+    private static final int MAX_AGES = 128;
+    private static final int MAX_UNREACHABLE = 32;
 
     private final Peers peers;
     private final Random random;
@@ -24,40 +24,40 @@
         this.random = random;
     }
 
-    /** What a member is called with. */
+    /** Returns the probe of a member. */
     MembershipMessages.Ping ping(Peer p) {
-        List<String> lost = null;
+        List<String> unreachable = null;
         int from = random.nextInt(peers.others.size());
-        for (int i = 0; i < peers.others.size() && (lost == null || lost.size() < MOST_LOST); i++) {
+        for (int i = 0; i < peers.others.size() && (unreachable == null || unreachable.size() < MAX_UNREACHABLE); i++) {
             Peer other = peers.others.get((from + i) % peers.others.size());
-            if (other != p && other.failsHere() && other.isIn()) {
-                lost = lost == null ? new ArrayList<>() : lost;
-                lost.add(other.name);
+            if (other != p && other.isUnresponsive() && other.isActive()) {
+                unreachable = unreachable == null ? new ArrayList<>() : unreachable;
+                unreachable.add(other.name);
             }
         }
         return new MembershipMessages.Ping(
                 peers.self.incarnation,
                 p.incarnation,
                 p.claim == null && p.state == State.ALIVE ? null : about(p),
-                lost,
-                news());
+                unreachable,
+                recent());
     }
 
     MembershipMessages.Pong pong(String caller, MembershipMessages.Ping ping, long now) {
         return new MembershipMessages.Pong(
                 peers.self.incarnation,
                 aboutCaller(caller, ping.incarnation()),
-                heardAges(caller, now),
-                reached(ping.unreachable(), now),
-                news());
+                contactAges(caller, now),
+                reachable(ping.unreachable(), now),
+                recent());
     }
 
-    /** What is held of a member, with what others hold against it. */
+    /** Returns the state of a member, or the disputed claim of other routers about it. */
     private MemberUpdate about(Peer p) {
-        return p.claim != null ? p.claim : news(p, false);
+        return p.claim != null ? p.claim : latest(p, false);
     }
 
-    /** What is held of a caller, where that is not what it says. */
+    /** Returns the state of a caller if it differs from what the caller reports, otherwise null. */
     private MemberUpdate aboutCaller(String name, long incarnation) {
         Peer p = peers.other(name);
         if (p == null || p.claim == null && p.incarnation == incarnation && p.state == State.ALIVE) {
@@ -66,16 +66,21 @@
         return about(p);
     }
 
-    private MemberUpdate news(Peer p, boolean facts) {
-        if (p.saidAlive > p.incarnation) {
+    private MemberUpdate latest(Peer p, boolean facts) {
+        if (p.unconfirmedIncarnation > p.incarnation) {
             return new MemberUpdate(
-                    p.name, p.saidAlive, State.ALIVE.ordinal(), null, p.factsVersion, facts ? p.facts : null);
+                    p.name,
+                    p.unconfirmedIncarnation,
+                    State.ALIVE.ordinal(),
+                    null,
+                    p.factsVersion,
+                    facts ? p.facts : null);
         }
-        return held(p, facts);
+        return effective(p, facts);
     }
 
-    /** For an exchange, in which two come to hold the same. */
-    private MemberUpdate held(Peer p, boolean facts) {
+    /** Returns the effective state of a member, as sent in a synchronization. */
+    private MemberUpdate effective(Peer p, boolean facts) {
         return new MemberUpdate(
                 p.name,
                 p.incarnation,
@@ -85,92 +90,92 @@
                 facts ? p.facts : null);
     }
 
-    /** What changed lately, least told first; null for nothing. */
-    List<MemberUpdate> news() {
+    /** Returns recent changes, those sent least often first; null for none. */
+    List<MemberUpdate> recent() {
         List<Peer> fresh = new ArrayList<>();
         for (Peer p : peers.others) {
-            if (p.tell > 0 || p.tellFacts > 0 || p.claim != null && p.tellClaim > 0) {
+            if (p.sendsLeft > 0 || p.factsSendsLeft > 0 || p.claim != null && p.claimSendsLeft > 0) {
                 fresh.add(p);
             }
         }
         Collections.shuffle(fresh, random);
-        fresh.sort((a, b) -> Integer.compare(b.tell, a.tell));
-        if (peers.self.tell > 0 || peers.self.tellFacts > 0) {
+        fresh.sort((a, b) -> Integer.compare(b.sendsLeft, a.sendsLeft));
+        if (peers.self.sendsLeft > 0 || peers.self.factsSendsLeft > 0) {
             fresh.add(0, peers.self);
         }
         if (fresh.isEmpty()) {
             return null;
         }
-        List<MemberUpdate> news = new ArrayList<>();
-        for (Peer p : fresh.subList(0, Math.min(MOST_NEWS, fresh.size()))) {
-            if (p.tell > 0 || p.tellFacts > 0) {
-                news.add(news(p, p.tellFacts > 0));
-                p.tell = Math.max(0, p.tell - 1);
-                p.tellFacts = Math.max(0, p.tellFacts - 1);
+        List<MemberUpdate> updates = new ArrayList<>();
+        for (Peer p : fresh.subList(0, Math.min(MAX_UPDATES, fresh.size()))) {
+            if (p.sendsLeft > 0 || p.factsSendsLeft > 0) {
+                updates.add(latest(p, p.factsSendsLeft > 0));
+                p.sendsLeft = Math.max(0, p.sendsLeft - 1);
+                p.factsSendsLeft = Math.max(0, p.factsSendsLeft - 1);
             }
-            if (p.claim != null && p.tellClaim > 0) {
-                news.add(p.claim);
-                p.tellClaim--;
+            if (p.claim != null && p.claimSendsLeft > 0) {
+                updates.add(p.claim);
+                p.claimSendsLeft--;
             }
         }
-        return news;
+        return updates;
     }
 
-    /** How long ago some members were heard, in milliseconds, for who calls. */
-    private Map<String, Integer> heardAges(String caller, long now) {
+    /** Returns the milliseconds since the last contact with some members, for the reply to a caller. */
+    private Map<String, Integer> contactAges(String caller, long now) {
         List<Peer> fresh = new ArrayList<>();
         for (Peer p : peers.others) {
-            if (!p.name.equals(caller) && now - p.heardAt < peers.doubt) {
+            if (!p.name.equals(caller) && now - p.lastContactAt < peers.silenceLimit) {
                 fresh.add(p);
             }
         }
-        if (fresh.size() > MOST_HEARD) {
+        if (fresh.size() > MAX_AGES) {
             Collections.shuffle(fresh, random);
         }
         Map<String, Integer> ages = new TreeMap<>();
-        for (Peer p : fresh.subList(0, Math.min(MOST_HEARD, fresh.size()))) {
-            ages.put(p.name, (int) TimeUnit.NANOSECONDS.toMillis(now - p.heardAt) + 1);
+        for (Peer p : fresh.subList(0, Math.min(MAX_AGES, fresh.size()))) {
+            ages.put(p.name, (int) TimeUnit.NANOSECONDS.toMillis(now - p.lastContactAt) + 1);
         }
         return ages;
     }
 
-    /** Of those that do not answer a caller, whom this router can call itself. */
-    private List<String> reached(List<String> lost, long now) {
-        if (lost == null) {
+    /** Returns the members unreachable for a caller that this router can call directly. */
+    private List<String> reachable(List<String> unreachable, long now) {
+        if (unreachable == null) {
             return null;
         }
-        return lost.stream()
+        return unreachable.stream()
                 .filter(name -> name != null && peers.other(name) != null)
                 .filter(name -> {
                     Peer p = peers.other(name);
-                    return !p.failsHere() && now - p.answeredAt < Peers.MAJORITY_NS;
+                    return !p.isUnresponsive() && now - p.answeredAt < Peers.MAJORITY_WINDOW_NS;
                 })
                 .toList();
     }
 
-    /** A part of all that is held, without facts: so many from there on. */
-    List<MemberUpdate> part(int from, int most) {
+    /** Returns a part of the state without facts: this router and up to {@code limit} members from an index on. */
+    List<MemberUpdate> part(int from, int limit) {
         List<MemberUpdate> part = new ArrayList<>();
-        part.add(held(peers.self, false));
-        for (int i = 0; i < Math.min(most, peers.others.size()); i++) {
+        part.add(effective(peers.self, false));
+        for (int i = 0; i < Math.min(limit, peers.others.size()); i++) {
             Peer p = peers.others.get((from + i) % peers.others.size());
-            part.add(held(p, false));
+            part.add(effective(p, false));
         }
         return part;
     }
 
-    /** Of the same members, what is held newer. */
+    /** Returns the state of those members of a received part for which this router has newer data. */
     List<MemberUpdate> newer(List<MemberUpdate> part) {
         List<MemberUpdate> newer = new ArrayList<>();
-        for (MemberUpdate n : part) {
-            Peer p = n == null || n.member() == null ? null : peers.member(n.member());
+        for (MemberUpdate update : part) {
+            Peer p = update == null || update.member() == null ? null : peers.member(update.member());
             if (p != null
                     && p.incarnation > 0
-                    && n.state() >= 0
-                    && n.state() < State.values().length
-                    && (p.compare(n.incarnation(), State.values()[n.state()]) < 0
-                            || n.factsVersion() < p.factsVersion)) {
-                newer.add(held(p, n.factsVersion() < p.factsVersion));
+                    && update.state() >= 0
+                    && update.state() < State.values().length
+                    && (p.compare(update.incarnation(), State.values()[update.state()]) < 0
+                            || update.factsVersion() < p.factsVersion)) {
+                newer.add(effective(p, update.factsVersion() < p.factsVersion));
             }
         }
         return newer;
--- a/router/src/main/java/stagepier/fleet/Membership.java
+++ b/router/src/main/java/stagepier/fleet/Membership.java
@@ -19,71 +19,75 @@
 import stagepier.tasks.Tasks;
 
 /**
- * Keeps the view of the fleet: calls the others in turn, asks about those that are silent, tells on what it hears. How often it does
- * so does not depend on the size of the fleet. The rules are in {@link MemberTable}; see {@code docs/fleet.md}.
+ * Maintains the membership view of the fleet: probes the other members in turn, probes silent members indirectly, and
+ * forwards updates. The rate of messages does not depend on the size of the fleet. The rules are in
+ * {@link MemberTable}; see {@code docs/fleet.md}.
  */
 public final class Membership implements FleetService {
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
     private static final int PROBERS = 4;
-    private static final Duration PROBE_EVERY = Duration.ofMillis(300);
-    private static final Duration PROBE_MOST = Duration.ofMillis(250);
-    private static final Duration ASK_MOST = Duration.ofMillis(200);
-    private static final Duration PAUSE_LEAST = Duration.ofMillis(20);
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration SYNC_EVERY = Duration.ofSeconds(1);
-    private static final int SYNC_PART = 64;
-    private static final int MUCH = 8;
-    private static final int RELAYS = 3;
-    private static final int NAMES_IN_STATUS = 8;
-    /** Of an incarnation by the wall clock, one step in a thousandth of a millisecond: room for two starts in one. */
-    private static final int STEPS = 1_000;
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(300);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
+    private static final Duration INDIRECT_PROBE_TIMEOUT = Duration.ofMillis(200);
+    private static final Duration MIN_PAUSE = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration SYNC_INTERVAL = Duration.ofSeconds(1);
+    private static final int SYNC_PART_SIZE = 64;
+    private static final int MANY_UPDATES = 8;
+    private static final int MAX_RELAYS = 3;
+    private static final int MAX_NAMES_IN_STATUS = 8;
+    /**
+     * Incarnations per millisecond of the wall clock, of which one is drawn at random, so that two starts in the same
+     * millisecond get different incarnations.
+     */
+    private static final int INCARNATIONS_PER_MS = 1_000;
 
     private final Tasks tasks;
-    private final FleetRpc calls;
+    private final FleetRpc rpc;
     private final FleetConfig config;
     private final History history;
     private final Random random;
-    /** Held for moments, never while something is waited for. */
+    /** State and rules of the view. Its monitor is held briefly, never while waiting. */
     private final MemberTable table;
 
     private volatile FleetView view;
     private volatile Facts ownFacts = Facts.NONE;
 
-    public Membership(Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
+    public Membership(Tasks tasks, FleetRpc rpc, FleetConfig config, History history, long seed) {
         this.tasks = tasks;
-        this.calls = calls;
+        this.rpc = rpc;
         this.config = config;
         this.history = history;
         random = new Random(seed);
-        long incarnation = tasks.wall().millis() * STEPS + random.nextInt(STEPS);
+        long incarnation = tasks.wall().millis() * INCARNATIONS_PER_MS + random.nextInt(INCARNATIONS_PER_MS);
         table = new MemberTable(config, incarnation, tasks.nanoTime(), random);
         view = table.changedView();
     }
 
-    /** What this router holds now; from any thread. */
+    /** Returns the current view. May be called from any thread. */
     public FleetView view() {
         return view;
     }
 
-    /** What this router tells of itself, from its next tick on. Never waits, so that the event loop may call it. */
+    /** Sets the facts that this router publishes from its next tick on. Never waits; the event loop may call it. */
     public void facts(Facts facts) {
         ownFacts = facts;
     }
 
-    /** This process ends of its own will: some others are told, who tell it on. Does not wait for that. */
+    /** Announces an orderly end of this process to some members, which forward it. Does not wait for that. */
     public void leave() {
         tasks.start("view-leave", () -> {
-            List<Peer> some = new ArrayList<>();
+            List<Peer> recipients = new ArrayList<>();
             synchronized (table) {
                 table.leave();
-                for (int i = 0; i < 2 * RELAYS && i < config.members().size() - 1; i++) {
-                    Peer p = table.turns().next(tasks.nanoTime());
+                for (int i = 0; i < 2 * MAX_RELAYS && i < config.members().size() - 1; i++) {
+                    Peer p = table.probeOrder().next(tasks.nanoTime());
                     if (p != null) {
-                        some.add(p);
+                        recipients.add(p);
                     }
                 }
             }
-            for (Peer p : some) {
+            for (Peer p : recipients) {
                 probe(p);
             }
         });
@@ -91,59 +95,59 @@
 
     @Override
     public void start() {
-        calls.answer("view", this::answer);
+        rpc.answer("view", this::answer);
         for (int i = 0; i < PROBERS; i++) {
-            tasks.start("view-prober-" + i, this::probeInTurn);
+            tasks.start("view-prober-" + i, this::probeLoop);
         }
-        tasks.start("view-ticker", this::tickOn);
-        tasks.start("view-sync", this::syncOn);
+        tasks.start("view-ticker", this::tickLoop);
+        tasks.start("view-sync", this::syncLoop);
     }
 
     @Override
     public void reload() {
-        // fleet.toml is read at the start only: the configured fleet may not change under a majority.
+        // fleet.toml is read at the start only: the members must not change while majorities of them are counted.
     }
 
     // Tasks.
 
-    private void probeInTurn() throws InterruptedException {
-        tasks.sleep(part(PROBE_EVERY));
+    private void probeLoop() throws InterruptedException {
+        tasks.sleep(randomPart(PROBE_INTERVAL));
         for (; ; ) {
-            long began = tasks.nanoTime();
+            long start = tasks.nanoTime();
             Peer p;
             synchronized (table) {
-                p = table.turns().next(began);
+                p = table.probeOrder().next(start);
             }
             if (p != null) {
                 probe(p);
             }
-            Duration left = PROBE_EVERY.minusNanos(tasks.nanoTime() - began);
-            tasks.sleep(left.compareTo(PAUSE_LEAST) < 0 ? PAUSE_LEAST : left);
+            Duration left = PROBE_INTERVAL.minusNanos(tasks.nanoTime() - start);
+            tasks.sleep(left.compareTo(MIN_PAUSE) < 0 ? MIN_PAUSE : left);
         }
     }
 
     private void probe(Peer p) throws InterruptedException {
-        Ping words;
+        Ping ping;
         long sentAt = tasks.nanoTime();
         int stalls;
         double factor;
         synchronized (table) {
-            words = table.news().ping(p);
+            ping = table.updates().ping(p);
             stalls = table.stalls();
-            factor = table.waitLonger();
+            factor = table.probeTimeoutFactor();
         }
         try {
-            Message reply = calls.call(p.name, Message.of(MembershipMessages.PING, words), Duration.ofNanos((long)
-                    (PROBE_MOST.toNanos() * factor)));
+            Message reply = rpc.call(p.name, Message.of(MembershipMessages.PING, ping), Duration.ofNanos((long)
+                    (PROBE_TIMEOUT.toNanos() * factor)));
             receive(p, read(reply, Pong.class), sentAt);
         } catch (FleetRpc.NoReplyException e) {
             List<String> relays;
             synchronized (table) {
-                table.silent(p.name, sentAt, stalls);
-                relays = table.turns().relays(p, RELAYS, tasks.nanoTime());
+                table.recordTimeout(p.name, sentAt, stalls);
+                relays = table.probeOrder().relays(p, MAX_RELAYS, tasks.nanoTime());
             }
             for (String relay : relays) {
-                if (ask(relay, p)) {
+                if (probeIndirectly(relay, p)) {
                     return;
                 }
             }
@@ -156,75 +160,78 @@
         }
         long now = tasks.nanoTime();
         synchronized (table) {
-            table.answered(p.name, sentAt);
+            table.recordReply(p.name, sentAt);
             table.applyAlive(p.name, pong.incarnation(), now);
             if (pong.ages() != null) {
-                table.heardOfOthers(pong.ages(), sentAt);
+                table.recordAges(pong.ages(), sentAt);
             }
             if (pong.reachable() != null) {
-                table.reachedBy(p.name, pong.reachable());
+                table.recordReachable(p.name, pong.reachable());
             }
             table.apply(p.name, pong.about(), now);
             table.apply(p.name, pong.news(), now);
         }
     }
 
-    /** Says whether the relay has heard of it since it did not answer here. */
-    private boolean ask(String relay, Peer about) throws InterruptedException {
+    /** Returns whether, after the answer of the relay, the member counts as responsive. */
+    private boolean probeIndirectly(String relay, Peer about) throws InterruptedException {
         long sentAt = tasks.nanoTime();
         try {
             AgeResponse response = read(
-                    calls.call(relay, Message.of(MembershipMessages.AGE_REQUEST, new AgeRequest(about.name)), ASK_MOST),
+                    rpc.call(
+                            relay,
+                            Message.of(MembershipMessages.AGE_REQUEST, new AgeRequest(about.name)),
+                            INDIRECT_PROBE_TIMEOUT),
                     AgeResponse.class);
             synchronized (table) {
                 if (response != null && response.age() >= 0 && response.age() < Integer.MAX_VALUE) {
-                    table.heardOfOthers(Map.of(about.name, (int) response.age()), sentAt);
-                    table.reachedBy(relay, List.of(about.name));
+                    table.recordAges(Map.of(about.name, (int) response.age()), sentAt);
+                    table.recordReachable(relay, List.of(about.name));
                 }
-                return !about.failsHere();
+                return !about.isUnresponsive();
             }
         } catch (FleetRpc.NoReplyException e) {
             return false;
         }
     }
 
-    private void tickOn() throws InterruptedException {
+    private void tickLoop() throws InterruptedException {
         for (; ; ) {
-            long began = tasks.nanoTime();
-            tasks.sleep(TICK);
+            long start = tasks.nanoTime();
+            tasks.sleep(TICK_INTERVAL);
             long now = tasks.nanoTime();
             synchronized (table) {
                 table.facts(ownFacts);
-                table.tick(now - began - TICK.toNanos(), now);
-                takeUp(table.changedView());
+                table.tick(now - start - TICK_INTERVAL.toNanos(), now);
+                publish(table.changedView());
             }
         }
     }
 
     /**
-     * One exchange of a part a second; soon the next one where the other was silent, or where much was new, as for a process that has just
-     * started.
+     * Synchronizes a part of the state with one member about once a second. The next round follows early if the member
+     * did not answer, or if many entries were new, as in a process that has just started.
      */
-    private void syncOn() throws InterruptedException {
+    private void syncLoop() throws InterruptedException {
         int from = 0;
-        int learned = 0;
+        int newer = 0;
         for (; ; ) {
             tasks.sleep(
-                    learned < 0 || learned > MUCH
-                            ? TICK
-                            : SYNC_EVERY.dividedBy(2).plus(part(SYNC_EVERY)));
+                    newer < 0 || newer > MANY_UPDATES
+                            ? TICK_INTERVAL
+                            : SYNC_INTERVAL.dividedBy(2).plus(randomPart(SYNC_INTERVAL)));
             String other;
             Sync sync;
             synchronized (table) {
-                other = table.turns().anyone(tasks.nanoTime());
-                sync = new Sync(table.news().part(from, SYNC_PART));
+                other = table.probeOrder().randomResponsive(tasks.nanoTime());
+                sync = new Sync(table.updates().part(from, SYNC_PART_SIZE));
             }
-            learned = other == null ? 0 : sync(other, sync);
-            from = (from + SYNC_PART) % config.members().size();
+            newer = other == null ? 0 : sync(other, sync);
+            from = (from + SYNC_PART_SIZE) % config.members().size();
         }
     }
 
-    /** @return how much was new; -1 where the other was silent */
+    /** @return the number of entries that were newer at the other member; -1 if it did not answer */
     private int sync(String other, Sync sync) throws InterruptedException {
         long sentAt = tasks.nanoTime();
         int stalls;
@@ -232,27 +239,27 @@
             stalls = table.stalls();
         }
         try {
-            Sync newer = read(calls.call(other, Message.of(MembershipMessages.SYNC, sync), PROBE_MOST), Sync.class);
-            if (newer == null || newer.news() == null) {
+            Sync response = read(rpc.call(other, Message.of(MembershipMessages.SYNC, sync), PROBE_TIMEOUT), Sync.class);
+            if (response == null || response.news() == null) {
                 return 0;
             }
             synchronized (table) {
-                table.apply(other, newer.news(), tasks.nanoTime());
+                table.apply(other, response.news(), tasks.nanoTime());
             }
-            return newer.news().size();
+            return response.news().size();
         } catch (FleetRpc.NoReplyException e) {
             synchronized (table) {
-                table.silent(other, sentAt, stalls);
+                table.recordTimeout(other, sentAt, stalls);
             }
             return -1;
         }
     }
 
-    private Duration part(Duration most) {
-        return Duration.ofNanos((long) (random.nextDouble() * most.toNanos()));
+    private Duration randomPart(Duration max) {
+        return Duration.ofNanos((long) (random.nextDouble() * max.toNanos()));
     }
 
-    // Answers.
+    // Handlers.
 
     private Message answer(String from, Message call) throws Message.MalformedException {
         long now = tasks.nanoTime();
@@ -265,17 +272,17 @@
                     table.applyAlive(config.self(), ping.heldIncarnation(), now);
                     table.apply(from, ping.about(), now);
                     table.apply(from, ping.news(), now);
-                    pong = table.news().pong(from, ping, now);
+                    pong = table.updates().pong(from, ping, now);
                 }
                 return Message.of(MembershipMessages.PONG, pong);
             }
             case MembershipMessages.AGE_REQUEST -> {
                 AgeRequest request = call.read(AgeRequest.class);
                 synchronized (table) {
-                    if (request.member() == null || !table.isMember(request.member())) {
+                    if (request.member() == null || !table.isOtherMember(request.member())) {
                         return Message.of(MembershipMessages.AGE_RESPONSE, new AgeResponse(-1));
                     }
-                    table.turns().hint(request.member(), now);
+                    table.probeOrder().prioritize(request.member(), now);
                     return Message.of(
                             MembershipMessages.AGE_RESPONSE, new AgeResponse(table.age(request.member(), now)));
                 }
@@ -283,32 +290,32 @@
             case MembershipMessages.SYNC -> {
                 Sync sync = call.read(Sync.class);
                 if (sync.news() == null) {
-                    throw new Message.MalformedException("an exchange of nothing");
+                    throw new Message.MalformedException("synchronization without a list of updates");
                 }
                 synchronized (table) {
                     table.apply(from, sync.news(), now);
                     return Message.of(
                             MembershipMessages.SYNC_RESPONSE,
-                            new Sync(table.news().newer(sync.news())));
+                            new Sync(table.updates().newer(sync.news())));
                 }
             }
-            default -> throw new Message.MalformedException(call.kind() + " is no word of the view");
+            default -> throw new Message.MalformedException(call.kind() + " is not a message kind of the view");
         }
     }
 
-    /** A reply that makes no sense is none. */
+    /** Decodes a reply; returns null if it is malformed. */
     private static <T> T read(Message reply, Class<T> type) {
         try {
             return reply.read(type);
         } catch (Message.MalformedException e) {
-            LOG.debug("a reply that makes no sense: {}", e.getMessage());
+            LOG.debug("ignoring a malformed reply: {}", e.getMessage());
             return null;
         }
     }
 
-    // What is held.
+    // The view.
 
-    private void takeUp(FleetView next) {
+    private void publish(FleetView next) {
         FleetView before = view;
         if (next == null) {
             return;
@@ -317,31 +324,35 @@
         List<String> states = new ArrayList<>();
         for (int i = 0; i < next.members().size(); i++) {
             Member now = next.members().get(i);
-            State then = before.members().get(i).state();
+            State previous = before.members().get(i).state();
             states.add(now.name() + ":" + now.incarnation() + ":" + now.state());
-            if (now.state() != then
+            if (now.state() != previous
                     && now.state() != State.SUSPECT
-                    && (then != State.SUSPECT || now.state() != State.ALIVE)) {
-                LOG.info("{} is {}", now.name(), now.state());
+                    && (previous != State.SUSPECT || now.state() != State.ALIVE)) {
+                LOG.info("member {} is {}", now.name(), now.state());
             }
         }
         history.write("view", "epoch", next.epoch(), "majority", next.majority(), "members", states);
         if (next.majority() != before.majority()) {
             if (next.majority()) {
-                LOG.info("in a majority of the fleet of {}", next.members().size());
+                LOG.info(
+                        "this router is in a majority of the fleet of {} routers",
+                        next.members().size());
             } else {
-                LOG.warn("in no majority of the fleet of {}", next.members().size());
+                LOG.warn(
+                        "this router is not in a majority of the fleet of {} routers",
+                        next.members().size());
             }
         }
     }
 
     @Override
     public List<String> status() {
-        FleetView v = view;
+        FleetView current = view;
         StringBuilder line =
-                new StringBuilder("view epoch=" + v.epoch() + " majority=" + (v.majority() ? "yes" : "no"));
+                new StringBuilder("view epoch=" + current.epoch() + " majority=" + (current.majority() ? "yes" : "no"));
         for (State state : State.values()) {
-            List<String> names = v.members().stream()
+            List<String> names = current.members().stream()
                     .filter(m -> m.state() == state)
                     .map(Member::name)
                     .toList();
@@ -351,12 +362,12 @@
                     .append(names.size());
             if (state != State.ALIVE && !names.isEmpty()) {
                 line.append('(')
-                        .append(String.join(",", names.subList(0, Math.min(NAMES_IN_STATUS, names.size()))))
-                        .append(names.size() > NAMES_IN_STATUS ? ",...)" : ")");
+                        .append(String.join(",", names.subList(0, Math.min(MAX_NAMES_IN_STATUS, names.size()))))
+                        .append(names.size() > MAX_NAMES_IN_STATUS ? ",...)" : ")");
             }
         }
-        long others = v.members().stream()
-                .filter(m -> !m.name().equals(v.self())
+        long others = current.members().stream()
+                .filter(m -> !m.name().equals(current.self())
                         && m.counts()
                         && !m.facts().configuration().equals(config.hash()))
                 .count();
--- a/router/src/main/java/stagepier/fleet/MembershipMessages.java
+++ b/router/src/main/java/stagepier/fleet/MembershipMessages.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Messages of the membership protocol. Routers exchange them some ten times a second, so most fields have a name of one letter on
- * the wire.
+ * Messages of the membership protocol. Routers exchange them about ten times a second, so most fields have one-letter
+ * names on the wire.
  */
 final class MembershipMessages {
     static final String PING = "view.ping";
@@ -19,14 +19,14 @@
     private MembershipMessages() {}
 
     /**
-     * What a router holds of one member.
+     * The state of one member as a router sees it.
      *
      * @param member       name of the member
      * @param incarnation  incarnation of the member
      * @param state        ordinal of its {@link FleetView.State}
-     * @param suspectedBy  routers that found it silent, where it is suspect; null or empty otherwise
+     * @param suspectedBy  routers that suspect the member, if it is suspect; null or empty otherwise
      * @param factsVersion version of its facts
-     * @param facts        its facts, or null where only their version is sent
+     * @param facts        its facts, or null if only their version is sent
      */
     record MemberUpdate(
             @SerializedName("n") String member,
@@ -40,9 +40,10 @@
      * A probe of another member.
      *
      * @param incarnation     incarnation of the caller
-     * @param heldIncarnation incarnation that the caller holds of the member that it calls
-     * @param about           what the caller holds of that member, where it is not that it is alive: the member may refute it
-     * @param unreachable     members that are in, but do not answer the caller; null for none
+     * @param heldIncarnation latest incarnation of the called member that the caller knows
+     * @param about           the caller's state for the called member if it is not alive, so that the member can refute
+     *                        it
+     * @param unreachable     active members that do not answer the caller; null for none
      * @param news            recent changes; null for none
      */
     record Ping(
@@ -55,10 +56,10 @@
     /**
      * The response to a probe.
      *
-     * @param incarnation incarnation of the member that answers
-     * @param about       what it holds of the caller, or null where that is as the caller says
-     * @param ages        milliseconds since some members answered anybody, by name
-     * @param reachable   of those that do not answer the caller, who answered this member lately; null for none
+     * @param incarnation incarnation of the responding member
+     * @param about       the responding member's state for the caller, or null if it matches the call
+     * @param ages        milliseconds since some members last answered any router, by name
+     * @param reachable   members unreachable for the caller that answered this member recently; null for none
      * @param news        recent changes; null for none
      */
     record Pong(
@@ -68,12 +69,17 @@
             @SerializedName("reach") List<String> reachable,
             List<MemberUpdate> news) {}
 
-    /** An indirect probe: asks when a member that does not answer the caller last answered, and to call that member. */
+    /**
+     * An indirect probe: asks when a member that does not answer the caller last answered, and requests a probe of that
+     * member.
+     */
     record AgeRequest(@SerializedName("n") String member) {}
 
-    /** @param age milliseconds since the member answered; -1 where that is not known */
+    /** @param age milliseconds since the member last answered; -1 if unknown */
     record AgeResponse(long age) {}
 
-    /** A part of what one router holds, without facts; the response is what the other holds newer, with facts. */
+    /**
+     * A part of one router's state, without facts. The response contains the entries that are newer there, with facts.
+     */
     record Sync(List<MemberUpdate> news) {}
 }
--- a/router/src/main/java/stagepier/fleet/Message.java
+++ b/router/src/main/java/stagepier/fleet/Message.java
@@ -5,16 +5,16 @@
 import com.google.gson.JsonParseException;
 
 /**
- * What one router says to another: a call or the reply to one. Each part of the fleet's work has its own kinds, named
- * {@code part.word} such as {@code view.ping}, and a record of its own for what the kind holds.
+ * A call or a reply between two routers. Each service of the fleet has message kinds of its own, named
+ * {@code family.name} such as {@code view.ping}, and a record type for the content of each kind.
  *
- * @param kind which of the words of which part
- * @param body a record in JSON
+ * @param kind message family and name
+ * @param body content as a JSON record
  */
 public record Message(String kind, JsonElement body) {
     private static final Gson GSON = new Gson();
 
-    /** A message that makes no sense; whoever sent it is not listened to further on that link. */
+    /** Thrown for a malformed message; the link on which it arrived is closed. */
     public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -28,26 +28,26 @@
         return new Message(kind, GSON.toJsonTree(content));
     }
 
-    /** The part that this is for: the kind up to the point. */
+    /** Returns the message family: the kind up to the first dot. */
     public String part() {
-        int point = kind.indexOf('.');
-        return point < 0 ? kind : kind.substring(0, point);
+        int dot = kind.indexOf('.');
+        return dot < 0 ? kind : kind.substring(0, dot);
     }
 
     /**
-     * What it holds. Fields that are absent are null or 0: whoever reads has to look.
+     * Decodes the content. Absent fields are null or 0; the caller must check them.
      *
-     * @throws MalformedException where it is no such record
+     * @throws MalformedException if the content is not a record of this type
      */
     public <T> T read(Class<T> type) throws MalformedException {
         try {
             T content = GSON.fromJson(body, type);
             if (content == null) {
-                throw new MalformedException(kind + " is empty");
+                throw new MalformedException(kind + " has no content");
             }
             return content;
         } catch (JsonParseException | IllegalArgumentException e) {
-            throw new MalformedException(kind + " is no " + type.getSimpleName());
+            throw new MalformedException(kind + " is not a valid " + type.getSimpleName());
         }
     }
 }
--- a/router/src/main/java/stagepier/fleet/OpenSockets.java
+++ b/router/src/main/java/stagepier/fleet/OpenSockets.java
@@ -8,16 +8,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All sockets of the fleet's calls, so that a stop can end the waits on them: an interrupt does not. Counts who was shut out. */
+/**
+ * Tracks all sockets used for fleet calls, so that a stop can close them: an interrupt does not end blocking socket
+ * operations. Also counts rejected and malformed links.
+ */
 final class OpenSockets {
     private static final Logger LOG = LoggerFactory.getLogger(OpenSockets.class);
 
     private final Set<Closeable> sockets = ConcurrentHashMap.newKeySet();
-    private final AtomicLong strangers = new AtomicLong();
-    private final AtomicLong garbage = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
+    private final AtomicLong malformed = new AtomicLong();
     private volatile boolean closed;
 
-    /** @throws IOException all has been closed */
+    /** @throws IOException if all sockets have been closed */
     void add(Closeable socket) throws IOException {
         sockets.add(socket);
         if (closed) {
@@ -31,7 +34,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            LOG.debug("a socket could not be closed: {}", e.getMessage());
+            LOG.debug("could not close a fleet socket: {}", e.getMessage());
         }
     }
 
@@ -48,29 +51,29 @@
         return sockets.size();
     }
 
-    /** Who is no member, or takes this router for another. */
-    void stranger(String what) {
-        count(strangers, "a stranger was shut out", what);
+    /** Counts a rejected link: the sender is not a member, expected another router, or did not identify itself. */
+    void recordRejected(String reason) {
+        count(rejected, "rejected a fleet link", reason);
     }
 
-    /** What makes no sense. */
-    void garbage(String what) {
-        count(garbage, "a link that said garbage was closed", what);
+    /** Counts a link that was closed because of malformed data. */
+    void recordMalformed(String reason) {
+        count(malformed, "closed a link after malformed data", reason);
     }
 
-    /** Logged at the 1st, 2nd, 4th, 8th...: whoever knocks for hours does not fill the log. */
-    private static void count(AtomicLong counter, String event, String what) {
+    /** Logs the 1st, 2nd, 4th, 8th... occurrence, so that repeated attempts over hours do not fill the log. */
+    private static void count(AtomicLong counter, String event, String reason) {
         long n = counter.incrementAndGet();
         if (Long.bitCount(n) == 1) {
-            LOG.warn("{}, the {}. time: {}", event, n, what);
+            LOG.warn("{} (occurrence {}): {}", event, n, reason);
         }
     }
 
-    long strangers() {
-        return strangers.get();
+    long rejected() {
+        return rejected.get();
     }
 
-    long garbage() {
-        return garbage.get();
+    long malformed() {
+        return malformed.get();
     }
 }
--- a/router/src/main/java/stagepier/fleet/Peer.java
+++ b/router/src/main/java/stagepier/fleet/Peer.java
@@ -3,75 +3,80 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What a router holds of one other. Guarded by its {@link MemberTable}; times are in nanoseconds of {@code Tasks}. */
+/** The state of one member. Guarded by its {@link MemberTable}; times are in nanoseconds of {@code Tasks}. */
 final class Peer {
     final String name;
     long incarnation;
     FleetView.State state = FleetView.State.GONE;
     FleetView.Facts facts = FleetView.Facts.NONE;
     long factsVersion;
-    /** Who found it silent, while it is suspect; a few are enough. */
+    /** Routers that suspect the member while it is suspect; only a limited number is kept. */
     final Set<String> suspectedBy = new TreeSet<>();
 
     long suspectSince;
-    /** When the call was sent that it answered last, whoever's call that was. */
-    long heardAt;
-    /** Who last told that it can call it itself. */
+    /** Last contact: time at which this or another router sent the call that the member answered last. */
+    long lastContactAt;
+    /** The member that last reported that it can call this member directly. */
     Peer relay;
-    /** When it went out; who is out is in again when somebody had an answer since. */
-    long outSince;
-    /** A higher incarnation that it is said to be alive in, of which no answer was heard of yet; 0 for none. */
-    long saidAlive;
-    /** From when its silence counts: it was taken up anew, or this router itself stood still. */
-    long countsFrom;
-    /** When this router's own last call to it was sent that was not answered. */
+    /** Time at which the member became gone or left; it is active again once a router has had an answer since. */
+    long inactiveSince;
+    /** Higher incarnation that is reported alive, but from which no answer is known yet; 0 for none. */
+    long unconfirmedIncarnation;
+    /** Earliest time from which silence counts: the member has a new incarnation, or this router has stalled. */
+    long silenceCountsFrom;
+    /** Time at which this router sent its last call to the member that was not answered. */
     long failedAt;
-    /** When this router's own call to it was sent that it answered last. */
+    /** Time at which this router sent the call that the member answered last. */
     long answeredAt;
-    /** When the first call was sent of those that went unanswered without one that was answered among them. */
-    long failsSince;
+    /** Time at which the first of the current run of unanswered calls was sent. */
+    long unresponsiveSince;
 
-    long calledAt;
-    long hintedAt;
-    /** How often its news is still to be told on, and its facts. */
-    int tell;
+    long probedAt;
+    long prioritizedAt;
+    /** Number of times that the state of the member remains to be sent. */
+    int sendsLeft;
 
-    int tellFacts;
-    /** That it is suspect or gone, said by others against what was heard here; told on, so that it can contradict. */
+    /** Number of times that its facts remain to be sent. */
+    int factsSendsLeft;
+    /**
+     * Update of another router that the member is suspect or gone, which this router disputes. It is forwarded so that
+     * the member can refute it.
+     */
     MembershipMessages.MemberUpdate claim;
 
-    int tellClaim;
+    /** Number of times that the disputed update remains to be sent. */
+    int claimSendsLeft;
 
-    Peer(String name, long never) {
+    Peer(String name, long distantPast) {
         this.name = name;
-        heardAt = never;
-        countsFrom = never;
-        failedAt = never;
-        answeredAt = never;
-        failsSince = never;
-        outSince = never;
-        hintedAt = never;
-        suspectSince = never;
+        lastContactAt = distantPast;
+        silenceCountsFrom = distantPast;
+        failedAt = distantPast;
+        answeredAt = distantPast;
+        unresponsiveSince = distantPast;
+        inactiveSince = distantPast;
+        prioritizedAt = distantPast;
+        suspectSince = distantPast;
     }
 
-    /** Since when it is silent. */
-    long silentFrom() {
-        return Math.max(heardAt, countsFrom);
+    /** Returns the time from which the silence of the member counts. */
+    long silentSince() {
+        return Math.max(lastContactAt, silenceCountsFrom);
     }
 
-    /** This router's own last call to it went unanswered. */
-    boolean failsHere() {
+    /** Returns whether this router's own last call to the member was not answered. */
+    boolean isUnresponsive() {
         return failedAt > answeredAt;
     }
 
-    /** Alive or suspect. */
-    boolean isIn() {
+    /** Returns whether the member is alive or suspect. */
+    boolean isActive() {
         return state == FleetView.State.ALIVE || state == FleetView.State.SUSPECT;
     }
 
-    /** Whether news of it is newer (positive), as new (0) or older than what is held. */
-    int compare(long newsIncarnation, FleetView.State newsState) {
-        int byIncarnation = Long.compare(newsIncarnation, incarnation);
-        return byIncarnation != 0 ? byIncarnation : Integer.compare(newsState.ordinal(), state.ordinal());
+    /** Compares an update with the current state: positive if the update is newer, 0 if equal, negative if older. */
+    int compare(long otherIncarnation, FleetView.State otherState) {
+        int byIncarnation = Long.compare(otherIncarnation, incarnation);
+        return byIncarnation != 0 ? byIncarnation : Integer.compare(otherState.ordinal(), state.ordinal());
     }
 }
--- a/router/src/main/java/stagepier/fleet/PeerLink.java
+++ b/router/src/main/java/stagepier/fleet/PeerLink.java
@@ -14,18 +14,23 @@
 import stagepier.tasks.Tasks;
 
 /**
- * The link on which this router calls one member. A task of its own opens it, reads the replies, and opens it again after waits that
- * grow; whoever calls writes on its own task.
+ * The link on which this router calls one member. A dedicated task opens the link, reads the replies, and reopens it
+ * with exponential back-off; callers write on their own tasks.
  */
 final class PeerLink {
-    private static final int CONNECT_MS = 500;
-    private static final int FIRST_WAIT_MS = 25;
-    private static final int MOST_WAIT_MS = 1_000;
-    /** Bytes of calls without a reply; the socket's buffer takes them all, so that no write waits for a member that stands still. */
-    private static final int ROOM = 4 * FleetRpc.MAX_MESSAGE_BYTES;
-
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int MIN_BACKOFF_MS = 25;
+    private static final int MAX_BACKOFF_MS = 1_000;
+    /**
+     * Maximum bytes of calls without a reply. The send buffer of the socket holds them all, so that no write blocks
+     * when the member has stopped reading.
+     */
+    private static final int MAX_UNANSWERED_BYTES = 4 * FleetRpc.MAX_MESSAGE_BYTES;
+
+    /** Age of the oldest unanswered call from which the link is closed and reopened. */
     private static final long STALE_NS = 3_000_000_000L;
-    private static final Duration LOOK_AGAIN = Duration.ofMillis(10);
+
+    private static final Duration OPEN_POLL_INTERVAL = Duration.ofMillis(10);
     private static final FrameCodec.Frame BROKEN = new FrameCodec.Frame(-1, null, null);
 
     private record Sent(long id, int bytes, long at) {}
@@ -35,100 +40,101 @@
     private final InetSocketAddress address;
     private final byte[] hello;
     private final Random random;
-    private volatile Open open;
-    /** Nobody listens there: a call need not wait for the link. */
+    private volatile Connection connection;
+    /** The last connection attempt was refused, so that calls fail at once instead of waiting for the link. */
     private volatile boolean refused;
 
     PeerLink(Tasks tasks, OpenSockets sockets, InetSocketAddress address, FrameCodec.Hello hello, long seed) {
         this.tasks = tasks;
         this.sockets = sockets;
         this.address = address;
-        this.hello = FrameCodec.written(hello);
+        this.hello = FrameCodec.encode(hello);
         random = new Random(seed);
     }
 
     boolean isOpen() {
-        return open != null;
+        return connection != null;
     }
 
-    /** Until the tasks are stopped. */
+    /** Keeps the link open until the tasks are stopped. */
     void keepOpen() throws InterruptedException {
-        int wait = FIRST_WAIT_MS;
+        int backoff = MIN_BACKOFF_MS;
         for (; ; ) {
-            boolean wentWell = openOnce();
-            wait = wentWell ? FIRST_WAIT_MS : Math.min(MOST_WAIT_MS, 2 * wait);
-            // Spread, so that all who lost the same member do not come back in step.
-            tasks.sleep(Duration.ofMillis(wait / 2 + random.nextInt(wait / 2 + 1)));
+            boolean hadReply = openOnce();
+            backoff = hadReply ? MIN_BACKOFF_MS : Math.min(MAX_BACKOFF_MS, 2 * backoff);
+            // Jitter, so that routers that lost the same member do not reconnect at the same time.
+            tasks.sleep(Duration.ofMillis(backoff / 2 + random.nextInt(backoff / 2 + 1)));
         }
     }
 
-    /** Opens it and reads replies until it breaks; says whether there was one. */
+    /** Opens the link and reads replies until it breaks; returns whether any reply arrived. */
     private boolean openOnce() {
-        Open now = null;
+        Connection current = null;
         Socket socket = new Socket();
         try {
             sockets.add(socket);
             socket.setTcpNoDelay(true);
-            socket.setSendBufferSize(ROOM);
-            socket.connect(address, CONNECT_MS);
+            socket.setSendBufferSize(MAX_UNANSWERED_BYTES);
+            socket.connect(address, CONNECT_TIMEOUT_MS);
             refused = false;
             OutputStream out = socket.getOutputStream();
             out.write(hello);
-            now = new Open(socket, out);
-            open = now;
-            return now.readReplies(new FrameCodec(socket.getInputStream()));
+            current = new Connection(socket, out);
+            connection = current;
+            return current.readReplies(new FrameCodec(socket.getInputStream()));
         } catch (ConnectException e) {
             refused = true;
             return false;
         } catch (IOException e) {
-            return now != null && now.heard;
+            return current != null && current.replied;
         } finally {
-            open = null;
+            connection = null;
             sockets.close(socket);
-            if (now != null) {
-                now.breakOff();
+            if (current != null) {
+                current.failPending();
             }
         }
     }
 
-    Message call(String member, Message message, Duration most) throws FleetRpc.NoReplyException, InterruptedException {
-        long until = tasks.nanoTime() + most.toNanos();
-        Open now = open;
-        while (now == null) {
-            long left = until - tasks.nanoTime();
+    Message call(String member, Message message, Duration timeout)
+            throws FleetRpc.NoReplyException, InterruptedException {
+        long deadline = tasks.nanoTime() + timeout.toNanos();
+        Connection current = connection;
+        while (current == null) {
+            long left = deadline - tasks.nanoTime();
             if (refused || left <= 0) {
-                throw new FleetRpc.NoReplyException(member + " cannot be reached");
+                throw new FleetRpc.NoReplyException("no open link to " + member);
             }
-            tasks.sleep(LOOK_AGAIN.toNanos() < left ? LOOK_AGAIN : Duration.ofNanos(left));
-            now = open;
+            tasks.sleep(OPEN_POLL_INTERVAL.toNanos() < left ? OPEN_POLL_INTERVAL : Duration.ofNanos(left));
+            current = connection;
         }
         Mailbox<FrameCodec.Frame> reply = tasks.mailbox(1);
-        long id = now.send(member, message, reply);
+        long id = current.send(member, message, reply);
         try {
-            FrameCodec.Frame said = reply.take(Duration.ofNanos(Math.max(0, until - tasks.nanoTime())));
-            if (said == null || said.kind() == null) {
+            FrameCodec.Frame frame = reply.take(Duration.ofNanos(Math.max(0, deadline - tasks.nanoTime())));
+            if (frame == null || frame.kind() == null) {
                 throw new FleetRpc.NoReplyException(
-                        member + (said == null ? " said nothing to " : " has no answer to ") + message.kind());
+                        member + (frame == null ? " did not answer " : " has no handler for ") + message.kind());
             }
-            return new Message(said.kind(), said.body());
+            return new Message(frame.kind(), frame.body());
         } finally {
-            now.pending.remove(id);
+            current.pending.remove(id);
         }
     }
 
-    /** The link from its opening until it breaks. */
-    private final class Open {
+    /** One connection of the link, from its opening until it breaks. */
+    private final class Connection {
         private final Socket socket;
         private final OutputStream out;
         private final Map<Long, Mailbox<FrameCodec.Frame>> pending = new ConcurrentHashMap<>();
-        /** In the order of their numbers, which is that of their replies. Guarded by itself. */
+        /** Unanswered calls, ordered by number; replies arrive in the same order. Guarded by itself. */
         private final ArrayDeque<Sent> unanswered = new ArrayDeque<>();
 
         private int unansweredBytes;
         private long lastId;
-        private volatile boolean heard;
+        private volatile boolean replied;
 
-        Open(Socket socket, OutputStream out) {
+        Connection(Socket socket, OutputStream out) {
             this.socket = socket;
             this.out = out;
         }
@@ -136,14 +142,16 @@
         long send(String member, Message message, Mailbox<FrameCodec.Frame> reply) throws FleetRpc.NoReplyException {
             synchronized (unanswered) {
                 long id = ++lastId;
-                byte[] line = FrameCodec.written(new FrameCodec.Frame(id, message.kind(), message.body()));
+                byte[] line = FrameCodec.encode(new FrameCodec.Frame(id, message.kind(), message.body()));
                 Sent oldest = unanswered.peek();
                 if (oldest != null && tasks.nanoTime() - oldest.at() > STALE_NS) {
                     sockets.close(socket);
-                    throw new FleetRpc.NoReplyException(member + " has been silent for long: its link is opened anew");
+                    throw new FleetRpc.NoReplyException(
+                            member + " has left a call unanswered for more than 3 s; reopening the link");
                 }
-                if (unansweredBytes + line.length > ROOM) {
-                    throw new FleetRpc.NoReplyException(member + " has not answered what was said before");
+                if (unansweredBytes + line.length > MAX_UNANSWERED_BYTES) {
+                    throw new FleetRpc.NoReplyException(
+                            "too many bytes of unanswered calls to " + member + "; call not sent");
                 }
                 pending.put(id, reply);
                 unanswered.add(new Sent(id, line.length, tasks.nanoTime()));
@@ -159,24 +167,24 @@
             }
         }
 
-        boolean readReplies(FrameCodec lines) throws IOException {
+        boolean readReplies(FrameCodec codec) throws IOException {
             try {
                 for (; ; ) {
-                    FrameCodec.Frame frame = lines.next(FrameCodec.Frame.class);
-                    heard = true;
-                    answered(frame.id());
+                    FrameCodec.Frame frame = codec.next(FrameCodec.Frame.class);
+                    replied = true;
+                    removeAnswered(frame.id());
                     Mailbox<FrameCodec.Frame> reply = pending.remove(frame.id());
                     if (reply != null) {
                         reply.put(frame);
                     }
                 }
             } catch (Message.MalformedException e) {
-                sockets.garbage(e.getMessage());
+                sockets.recordMalformed(e.getMessage());
                 return false;
             }
         }
 
-        private void answered(long id) {
+        private void removeAnswered(long id) {
             synchronized (unanswered) {
                 while (!unanswered.isEmpty() && unanswered.peek().id() <= id) {
                     unansweredBytes -= unanswered.poll().bytes();
@@ -184,8 +192,8 @@
             }
         }
 
-        /** After the socket was closed: whoever is put in after this cannot write any more. */
-        void breakOff() {
+        /** Fails all pending calls. Runs after the socket has been closed, so that calls added later fail to write. */
+        void failPending() {
             pending.values().forEach(reply -> reply.put(BROKEN));
         }
     }
--- a/router/src/main/java/stagepier/fleet/Peers.java
+++ b/router/src/main/java/stagepier/fleet/Peers.java
@@ -6,66 +6,67 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** The members of the fleet as one router holds them. Guarded by its {@link MemberTable}. */
+/** The members of the fleet as one router sees them. Guarded by its {@link MemberTable}. */
 final class Peers {
+    /** Silence after which a member may be suspected, in a fleet of fewer than 16 routers. */
+    private static final long SILENCE_LIMIT_NS = ms(1_400);
+
     /**
-     * Silence from which a member is in doubt, in a fleet of up to 16. That somebody was heard spreads from one to the next, so it is
-     * longer the more they are: by so much for each doubling.
+     * Increase of that threshold for each further doubling of the fleet, since reports of contact with a member
+     * take longer to spread in a larger fleet.
      */
-    private static final long DOUBT_NS = ms(1_400);
-
-    private static final long DOUBT_MORE_NS = ms(150);
-    /** Members heard of within this make up a majority or do not. */
-    static final long MAJORITY_NS = ms(2_000);
+    private static final long SILENCE_PER_DOUBLING_NS = ms(150);
+    /** Members with contact within this time count towards the majority. */
+    static final long MAJORITY_WINDOW_NS = ms(2_000);
 
-    /** This router as the others are told of it. */
+    /** The state of this router, as sent to the other members. */
     final Peer self;
-    /** In the order of their names. */
+    /** The other members, ordered by name. */
     final List<Peer> others;
-    /** Silence in nanoseconds from which a member of this fleet is in doubt. */
-    final long doubt;
-    /** How often a change is told on. */
-    final int tellTimes;
+    /** Silence in nanoseconds after which a member of this fleet may be suspected. */
+    final long silenceLimit;
+    /** Number of times that a change is sent. */
+    final int sendLimit;
 
     private final SortedMap<String, Peer> byName = new TreeMap<>();
 
     Peers(FleetConfig config, long incarnation, long now, Random random) {
-        long never = longBefore(now);
+        long distantPast = distantPast(now);
         for (String name : config.members().keySet()) {
             if (!name.equals(config.self())) {
-                Peer p = new Peer(name, never);
-                // Each router goes round in an order of its own.
-                p.calledAt = never - random.nextInt(1_000_000);
+                Peer p = new Peer(name, distantPast);
+                // Each router starts its rounds in an order of its own.
+                p.probedAt = distantPast - random.nextInt(1_000_000);
                 byName.put(name, p);
             }
         }
         others = List.copyOf(byName.values());
         int bits = 32 - Integer.numberOfLeadingZeros(config.members().size());
-        tellTimes = 3 * bits;
-        doubt = DOUBT_NS + DOUBT_MORE_NS * Math.max(0, bits - 4);
-        self = new Peer(config.self(), never);
+        sendLimit = 3 * bits;
+        silenceLimit = SILENCE_LIMIT_NS + SILENCE_PER_DOUBLING_NS * Math.max(0, bits - 4);
+        self = new Peer(config.self(), distantPast);
         self.incarnation = incarnation;
         self.state = FleetView.State.ALIVE;
         self.factsVersion = incarnation;
-        self.tell = tellTimes;
-        self.tellFacts = tellTimes;
+        self.sendsLeft = sendLimit;
+        self.factsSendsLeft = sendLimit;
     }
 
     static long ms(long n) {
         return TimeUnit.MILLISECONDS.toNanos(n);
     }
 
-    /** A time before all that counts. */
-    static long longBefore(long now) {
+    /** Returns a time earlier than every time window that is compared with it. */
+    static long distantPast(long now) {
         return now - ms(3_600_000);
     }
 
-    /** One of the others; null for this router and for a stranger. */
+    /** Returns another member; null for this router and for unknown names. */
     Peer other(String name) {
         return byName.get(name);
     }
 
-    /** This router or one of the others; null for a stranger. */
+    /** Returns this router or another member; null for unknown names. */
     Peer member(String name) {
         return name.equals(self.name) ? self : byName.get(name);
     }
--- a/router/src/main/java/stagepier/fleet/ProbeOrder.java
+++ b/router/src/main/java/stagepier/fleet/ProbeOrder.java
@@ -9,19 +9,22 @@
 import java.util.Set;
 import stagepier.fleet.FleetView.State;
 
-/** Whom this router calls, and in which order. Guarded by its {@link MemberTable}. */
+/** Selects the members that this router probes, and their order. Guarded by its {@link MemberTable}. */
 final class ProbeOrder {
-    /** The part of doubt from which others are asked about one that does not answer. */
-    private static final double ASK = 0.5;
+    /** Fraction of the silence threshold after which an unresponsive member is probed indirectly. */
+    private static final double INDIRECT_PROBE_FRACTION = 0.5;
 
-    private static final long SILENT_AGAIN_NS = Peers.ms(500);
-    private static final long HINT_AGAIN_NS = Peers.ms(300);
-    /** Of so many calls one goes to a member that does not answer, one to one that does, the others to those in doubt while there are any. */
-    private static final int TURNS = 4;
+    private static final long UNRESPONSIVE_PROBE_INTERVAL_NS = Peers.ms(500);
+    private static final long PRIORITIZE_INTERVAL_NS = Peers.ms(300);
+    /**
+     * Length of a cycle of probes: one goes to an unresponsive member, one to a responsive member, and the others to
+     * prioritized members while there are any.
+     */
+    private static final int CYCLE_LENGTH = 4;
 
     private final Peers peers;
     private final Random random;
-    private final Set<Peer> hints = new LinkedHashSet<>();
+    private final Set<Peer> prioritized = new LinkedHashSet<>();
     private int turn;
 
     ProbeOrder(Peers peers, Random random) {
@@ -29,92 +32,109 @@
         this.random = random;
     }
 
-    /** To be called soon; whom this router cannot call it hears of, and tells, by one that can. */
-    void hint(Peer p, long now) {
-        if (p.failsHere() && p.relay != null && p.relay.isIn() && !p.relay.failsHere()) {
-            hintNow(p.relay, now);
+    /**
+     * Schedules an early probe of a member. If this router cannot call the member, it probes the relay that can, to
+     * exchange updates about the member through it.
+     */
+    void prioritize(Peer p, long now) {
+        if (p.isUnresponsive() && p.relay != null && p.relay.isActive() && !p.relay.isUnresponsive()) {
+            enqueue(p.relay, now);
         } else {
-            hintNow(p, now);
+            enqueue(p, now);
         }
     }
 
-    private void hintNow(Peer p, long now) {
-        if (now - p.hintedAt > (p.failsHere() ? SILENT_AGAIN_NS : HINT_AGAIN_NS)) {
-            p.hintedAt = now;
-            hints.add(p);
+    private void enqueue(Peer p, long now) {
+        if (now - p.prioritizedAt > (p.isUnresponsive() ? UNRESPONSIVE_PROBE_INTERVAL_NS : PRIORITIZE_INTERVAL_NS)) {
+            p.prioritizedAt = now;
+            prioritized.add(p);
         }
     }
 
-    void hint(String name, long now) {
+    void prioritize(String name, long now) {
         Peer p = peers.other(name);
         if (p != null) {
-            hint(p, now);
+            prioritize(p, now);
         }
     }
 
     /**
-     * Whom to call; null where nobody else is. Those in doubt come first, but leave turns to the others, who are called in rounds. Those
-     * that are out or do not answer have rounds of their own, so that a router that cannot call half of the fleet still hears enough of
-     * the other half.
+     * Returns the member to probe next; null if there is none. Prioritized members come first, but leave turns to the
+     * others, which are probed in rounds. Inactive and unresponsive members have rounds of their own, so that a router
+     * that cannot call half of the fleet still gets enough replies from the other half.
      */
     Peer next(long now) {
-        turn = (turn + 1) % TURNS;
-        Peer p = turn > 1 ? hinted() : null;
+        turn = (turn + 1) % CYCLE_LENGTH;
+        Peer p = turn > 1 ? nextPrioritized() : null;
         if (p == null) {
-            p = nextOf(turn == 0, now);
+            p = longestNotProbed(turn == 0, now);
         }
-        p = p != null ? p : nextOf(turn != 0, now);
+        p = p != null ? p : longestNotProbed(turn != 0, now);
         if (p != null) {
-            p.calledAt = now;
+            p.probedAt = now;
         }
         return p;
     }
 
-    private Peer hinted() {
-        for (Iterator<Peer> i = hints.iterator(); i.hasNext(); ) {
-            Peer hinted = i.next();
-            i.remove();
-            if (hinted.claim != null || hinted.state != State.ALIVE || hinted.heardAt < hinted.hintedAt) {
-                return hinted;
+    private Peer nextPrioritized() {
+        for (Iterator<Peer> iterator = prioritized.iterator(); iterator.hasNext(); ) {
+            Peer candidate = iterator.next();
+            iterator.remove();
+            if (candidate.claim != null
+                    || candidate.state != State.ALIVE
+                    || candidate.lastContactAt < candidate.prioritizedAt) {
+                return candidate;
             }
         }
         return null;
     }
 
-    /** Who was not called for longest, so that each is called once in a round; of the silent, none that was called just now. */
-    private Peer nextOf(boolean silent, long now) {
+    /**
+     * Returns the member whose last probe is longest ago, so that each is probed once in a round; no unresponsive
+     * member is probed again within {@link #UNRESPONSIVE_PROBE_INTERVAL_NS}.
+     */
+    private Peer longestNotProbed(boolean unresponsive, long now) {
         Peer next = null;
         for (Peer p : peers.others) {
-            if (silent == (p.failsHere() || !p.isIn()) && (next == null || p.calledAt < next.calledAt)) {
+            if (unresponsive == (p.isUnresponsive() || !p.isActive()) && (next == null || p.probedAt < next.probedAt)) {
                 next = p;
             }
         }
-        return next == null || silent && now - next.calledAt < SILENT_AGAIN_NS ? null : next;
+        return next == null || unresponsive && now - next.probedAt < UNRESPONSIVE_PROBE_INTERVAL_NS ? null : next;
     }
 
-    /** Some that answered a moment ago, to ask about one that was not; first who told of it last. */
-    List<String> relays(Peer about, int most, long now) {
-        if (!about.isIn() || now - about.silentFrom() < ASK * peers.doubt) {
+    /**
+     * Returns recently responsive members through which a silent member can be probed, starting with the one that last
+     * reported to reach it.
+     */
+    List<String> relays(Peer about, int max, long now) {
+        if (!about.isActive() || now - about.silentSince() < INDIRECT_PROBE_FRACTION * peers.silenceLimit) {
             return List.of();
         }
-        List<String> fresh = new ArrayList<>();
+        List<String> responsive = new ArrayList<>();
         for (Peer p : peers.others) {
-            if (p != about && p != about.relay && p.isIn() && !p.failsHere() && now - p.answeredAt < peers.doubt) {
-                fresh.add(p.name);
+            if (p != about
+                    && p != about.relay
+                    && p.isActive()
+                    && !p.isUnresponsive()
+                    && now - p.answeredAt < peers.silenceLimit) {
+                responsive.add(p.name);
             }
         }
-        Collections.shuffle(fresh, random);
-        if (about.relay != null && about.relay.isIn() && !about.relay.failsHere()) {
-            fresh.add(0, about.relay.name);
+        Collections.shuffle(responsive, random);
+        if (about.relay != null && about.relay.isActive() && !about.relay.isUnresponsive()) {
+            responsive.add(0, about.relay.name);
         }
-        return fresh.subList(0, Math.min(most, fresh.size()));
+        return responsive.subList(0, Math.min(max, responsive.size()));
     }
 
-    /** Anyone who answers; null where nobody does. */
-    String anyone(long now) {
-        List<Peer> fresh = peers.others.stream()
-                .filter(p -> p.isIn() && !p.failsHere() && now - p.answeredAt < Peers.MAJORITY_NS + peers.doubt)
+    /** Returns the name of a random responsive member; null if there is none. */
+    String randomResponsive(long now) {
+        List<Peer> responsive = peers.others.stream()
+                .filter(p -> p.isActive()
+                        && !p.isUnresponsive()
+                        && now - p.answeredAt < Peers.MAJORITY_WINDOW_NS + peers.silenceLimit)
                 .toList();
-        return fresh.isEmpty() ? null : fresh.get(random.nextInt(fresh.size())).name;
+        return responsive.isEmpty() ? null : responsive.get(random.nextInt(responsive.size())).name;
     }
 }
--- a/router/src/main/java/stagepier/fleet/TcpFleetRpc.java
+++ b/router/src/main/java/stagepier/fleet/TcpFleetRpc.java
@@ -18,34 +18,36 @@
 import stagepier.tasks.Tasks;
 
 /**
- * Calls over TCP: a link each way between two routers, on which the one that opened it calls. One task listens, one answers on each
- * link that was accepted, one keeps up the link to each member; and one waits for the stop, to close what the others wait on.
+ * Implements fleet calls over TCP, with one link in each direction between two routers; the side that opened a link
+ * sends calls on it. One task listens, one task serves each accepted link, one task maintains the link to each member,
+ * and one task waits for the stop and then closes the sockets on which the others block.
  */
 public final class TcpFleetRpc implements FleetRpc {
     private static final Logger LOG = LoggerFactory.getLogger(TcpFleetRpc.class);
-    private static final int HELLO_MS = 2_000;
-    /** A link on which nobody calls any more: the view calls all the time. */
-    private static final int IDLE_MS = 60_000;
+    private static final int HELLO_TIMEOUT_MS = 2_000;
+    /** Idle time after which an accepted link is closed; the view sends calls continuously on a link in use. */
+    private static final int IDLE_TIMEOUT_MS = 60_000;
 
-    private static final Duration BIND_AGAIN = Duration.ofMillis(200);
-    private static final Duration ACCEPT_AGAIN = Duration.ofMillis(5);
-    /** Those that have not named themselves yet. */
-    private static final int MOST_NAMELESS = 32;
-    /** Of one name: a process that goes and the one that comes after it. */
-    private static final int MOST_OF_A_NAME = 2;
+    private static final Duration BIND_RETRY_DELAY = Duration.ofMillis(200);
+    private static final Duration ACCEPT_RETRY_DELAY = Duration.ofMillis(5);
+    /** Maximum number of accepted links whose first frame has not arrived yet. */
+    private static final int MAX_UNIDENTIFIED = 32;
+    /** Maximum number of accepted links per member: two, so that a process and its successor may overlap. */
+    private static final int MAX_LINKS_PER_MEMBER = 2;
 
     private final Tasks tasks;
     private final FleetConfig config;
     private final OpenSockets sockets = new OpenSockets();
     private final Map<String, PeerLink> links = new TreeMap<>();
-    private final Map<String, Handler> answerers = new HashMap<>();
-    private final AtomicInteger nameless = new AtomicInteger();
-    /** Accepted links by who called up, oldest first. Each queue is guarded by itself. */
+    private final Map<String, Handler> handlers = new HashMap<>();
+    private final AtomicInteger unidentified = new AtomicInteger();
+    /** Accepted links by member, oldest first. Each queue is guarded by itself. */
     private final Map<String, ArrayDeque<Socket>> accepted = new ConcurrentHashMap<>();
 
-    private final Map<String, String> otherFleets = new ConcurrentHashMap<>();
+    /** Last reported configuration hash of each member whose hash differs from this router's. */
+    private final Map<String, String> differingConfigurations = new ConcurrentHashMap<>();
 
-    /** @param seed for the waits before a link is opened again */
+    /** @param seed seed of the jitter of the back-off before links are reopened */
     public TcpFleetRpc(Tasks tasks, FleetConfig config, long seed) {
         this.tasks = tasks;
         this.config = config;
@@ -66,8 +68,8 @@
     }
 
     @Override
-    public void answer(String part, Handler answerer) {
-        answerers.put(part, answerer);
+    public void answer(String part, Handler handler) {
+        handlers.put(part, handler);
     }
 
     @Override
@@ -86,55 +88,62 @@
     }
 
     @Override
-    public Message call(String member, Message message, Duration most) throws NoReplyException, InterruptedException {
+    public Message call(String member, Message message, Duration timeout)
+            throws NoReplyException, InterruptedException {
         PeerLink link = links.get(member);
         if (link == null) {
-            throw new IllegalArgumentException(member + " is no other member");
+            throw new IllegalArgumentException(member + " is not another member of the fleet");
         }
-        return link.call(member, message, most);
+        return link.call(member, message, timeout);
     }
 
-    /** One line for {@code STATUS}. */
+    /** Returns the line for {@code STATUS}. */
     public String status() {
         return "fleet_links open="
                 + links.values().stream().filter(PeerLink::isOpen).count() + " of=" + links.size() + " strangers="
-                + sockets.strangers() + " garbage=" + sockets.garbage();
+                + sockets.rejected() + " garbage=" + sockets.malformed();
     }
 
-    long strangers() {
-        return sockets.strangers();
+    long rejected() {
+        return sockets.rejected();
     }
 
-    long garbage() {
-        return sockets.garbage();
+    long malformed() {
+        return sockets.malformed();
     }
 
     int openSockets() {
         return sockets.size();
     }
 
-    /** Tries again where the address is taken: the process that this one comes after may still hold it. */
+    /** Listens for links. Retries while the address is in use, as the previous process may still hold it. */
     private void listen() throws InterruptedException {
-        boolean told = false;
+        boolean warned = false;
         while (!sockets.isClosed()) {
             try (ServerSocket server = new ServerSocket()) {
                 sockets.add(server);
                 server.setReuseAddress(true);
                 server.bind(config.listen(), 64);
-                LOG.info("listening for the fleet on {}", text(config.listen()));
+                LOG.info("listening for fleet calls on {}", format(config.listen()));
                 accept(server);
             } catch (IOException e) {
-                if (!told && !sockets.isClosed()) {
-                    LOG.warn("cannot listen for the fleet on {} yet: {}", text(config.listen()), e.getMessage());
-                    told = true;
+                if (!warned && !sockets.isClosed()) {
+                    LOG.warn(
+                            "cannot listen for fleet calls on {}, retrying: {}",
+                            format(config.listen()),
+                            e.getMessage());
+                    warned = true;
                 }
             }
-            tasks.sleep(BIND_AGAIN);
+            tasks.sleep(BIND_RETRY_DELAY);
         }
     }
 
-    /** The next connection. Guards against a listening socket, and all who wait in its backlog, given up because one accept failed. */
-    private Socket next(ServerSocket server) throws IOException, InterruptedException {
+    /**
+     * Accepts the next connection. A failed accept is retried, so that it does not close the listening socket and drop
+     * all connections in its backlog.
+     */
+    private Socket acceptNext(ServerSocket server) throws IOException, InterruptedException {
         for (; ; ) {
             try {
                 return server.accept();
@@ -142,20 +151,20 @@
                 if (server.isClosed()) {
                     throw e;
                 }
-                LOG.debug("a call was not accepted: {}", e.getMessage());
-                tasks.sleep(ACCEPT_AGAIN);
+                LOG.debug("could not accept a fleet link, retrying: {}", e.getMessage());
+                tasks.sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
 
     private void accept(ServerSocket server) throws IOException, InterruptedException {
         for (; ; ) {
-            Socket socket = next(server);
+            Socket socket = acceptNext(server);
             sockets.add(socket);
-            if (nameless.incrementAndGet() > MOST_NAMELESS) {
-                nameless.decrementAndGet();
+            if (unidentified.incrementAndGet() > MAX_UNIDENTIFIED) {
+                unidentified.decrementAndGet();
                 sockets.close(socket);
-                sockets.stranger("too many that did not name themselves");
+                sockets.recordRejected("more than " + MAX_UNIDENTIFIED + " links without a first frame");
                 continue;
             }
             tasks.start("fleet-from-" + socket.getPort(), () -> serve(socket));
@@ -165,78 +174,78 @@
     private void serve(Socket socket) throws InterruptedException {
         String from = null;
         try {
-            FrameCodec lines = new FrameCodec(socket.getInputStream());
+            FrameCodec codec = new FrameCodec(socket.getInputStream());
             try {
                 socket.setTcpNoDelay(true);
-                socket.setSoTimeout(HELLO_MS);
-                from = welcome(lines.next(FrameCodec.Hello.class));
+                socket.setSoTimeout(HELLO_TIMEOUT_MS);
+                from = identify(codec.next(FrameCodec.Hello.class));
             } finally {
-                nameless.decrementAndGet();
+                unidentified.decrementAndGet();
             }
             if (from != null) {
-                keep(from, socket);
-                socket.setSoTimeout(IDLE_MS);
-                answerAll(from, lines, socket.getOutputStream());
+                register(from, socket);
+                socket.setSoTimeout(IDLE_TIMEOUT_MS);
+                serveCalls(from, codec, socket.getOutputStream());
             }
         } catch (Message.MalformedException e) {
-            sockets.garbage(e.getMessage() + " from "
-                    + (from == null ? text((InetSocketAddress) socket.getRemoteSocketAddress()) : from));
+            sockets.recordMalformed(e.getMessage() + " from "
+                    + (from == null ? format((InetSocketAddress) socket.getRemoteSocketAddress()) : from));
         } catch (IOException e) {
-            LOG.debug("the link from {} ended: {}", from, e.getMessage());
+            LOG.debug("link from {} closed: {}", from, e.getMessage());
         } finally {
             if (from != null) {
-                ArrayDeque<Socket> all = accepted.get(from);
-                synchronized (all) {
-                    all.remove(socket);
+                ArrayDeque<Socket> memberLinks = accepted.get(from);
+                synchronized (memberLinks) {
+                    memberLinks.remove(socket);
                 }
             }
             sockets.close(socket);
         }
     }
 
-    /** @return who it is, or null for a stranger */
-    private String welcome(FrameCodec.Hello hello) {
+    /** @return the name of the calling member, or null if the link is rejected */
+    private String identify(FrameCodec.Hello hello) {
         if (hello.name() == null || !links.containsKey(hello.name())) {
-            sockets.stranger("it is no other member");
+            sockets.recordRejected("the sender is not another member of the fleet");
             return null;
         }
         if (!config.self().equals(hello.target())) {
-            sockets.stranger(hello.name() + " takes this router for another one");
+            sockets.recordRejected(hello.name() + " expected a different router at this address");
             return null;
         }
         if (!config.hash().equals(hello.configuration())
                 && !String.valueOf(hello.configuration())
-                        .equals(otherFleets.put(hello.name(), String.valueOf(hello.configuration())))) {
-            LOG.warn("{} has another fleet.toml than this router", hello.name());
+                        .equals(differingConfigurations.put(hello.name(), String.valueOf(hello.configuration())))) {
+            LOG.warn("member {} uses a different fleet.toml than this router", hello.name());
         }
         return hello.name();
     }
 
-    private void keep(String from, Socket socket) {
-        ArrayDeque<Socket> all = accepted.get(from);
-        synchronized (all) {
-            all.add(socket);
-            if (all.size() > MOST_OF_A_NAME) {
-                sockets.close(all.poll());
+    private void register(String from, Socket socket) {
+        ArrayDeque<Socket> memberLinks = accepted.get(from);
+        synchronized (memberLinks) {
+            memberLinks.add(socket);
+            if (memberLinks.size() > MAX_LINKS_PER_MEMBER) {
+                sockets.close(memberLinks.poll());
             }
         }
     }
 
-    private void answerAll(String from, FrameCodec lines, OutputStream out)
+    private void serveCalls(String from, FrameCodec codec, OutputStream out)
             throws IOException, Message.MalformedException, InterruptedException {
         for (; ; ) {
-            FrameCodec.Frame call = lines.next(FrameCodec.Frame.class);
+            FrameCodec.Frame call = codec.next(FrameCodec.Frame.class);
             if (call.kind() == null) {
-                throw new Message.MalformedException("a call of no kind");
+                throw new Message.MalformedException("call without a kind");
             }
             Message message = new Message(call.kind(), call.body());
-            Handler answerer = answerers.get(message.part());
-            Message reply = answerer == null ? new Message(null, null) : answerer.answer(from, message);
+            Handler handler = handlers.get(message.part());
+            Message reply = handler == null ? new Message(null, null) : handler.answer(from, message);
             FrameCodec.write(out, new FrameCodec.Frame(call.id(), reply.kind(), reply.body()));
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address == null ? "nobody" : address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/router/src/main/java/stagepier/fleet/package-info.java
+++ b/router/src/main/java/stagepier/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the routers of one fleet know of each other: calls between them, and a view that settles. Beside the event loop, on tasks;
- * the loop reads snapshots and never waits. Off unless {@code GW_FLEET} names a file.
+ * Remote calls between the routers of one fleet, and the membership view that they converge on. The code runs on tasks
+ * outside the event loop, which reads immutable snapshots and never waits. Disabled unless {@code GW_FLEET} names a
+ * file.
  */
 package stagepier.fleet;
--- a/router/src/test/java/stagepier/fleet/FleetConfigReaderTest.java
+++ b/router/src/test/java/stagepier/fleet/FleetConfigReaderTest.java
@@ -28,57 +28,58 @@
     @TempDir
     Path folder;
 
-    record Bad(int line, String key, String wrong, String text) {
+    record InvalidFile(int line, String key, String problem, String text) {
         @Override
         public String toString() {
-            return key + ": " + wrong;
+            return key + ": " + problem;
         }
     }
 
-    static List<Bad> bad() throws IOException {
+    static List<InvalidFile> invalidFiles() throws IOException {
         try (InputStream in = FleetConfigReaderTest.class.getResourceAsStream("bad-fleet.txt")) {
             String all = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            List<Bad> cases = Arrays.stream(all.split("(?m)^### "))
+            List<InvalidFile> cases = Arrays.stream(all.split("(?m)^### "))
                     .skip(1)
                     .map(c -> {
                         String[] head = c.substring(0, c.indexOf('\n')).split(" \\| ", 3);
-                        return new Bad(Integer.parseInt(head[0]), head[1], head[2], c.substring(c.indexOf('\n') + 1));
+                        return new InvalidFile(
+                                Integer.parseInt(head[0]), head[1], head[2], c.substring(c.indexOf('\n') + 1));
                     })
                     .toList();
-            assertTrue(cases.size() >= 40, "only " + cases.size() + " bad files are kept");
+            assertTrue(cases.size() >= 40, "only " + cases.size() + " invalid files in bad-fleet.txt");
             return cases;
         }
     }
 
     @ParameterizedTest
-    @MethodSource("bad")
-    void tellsFileLineAndKeyInOneLine(Bad bad) throws IOException {
-        Path file = Files.writeString(folder.resolve("fleet.toml"), bad.text());
-        String told = assertThrows(InvalidFleetFileException.class, () -> FleetConfigReader.read(file, "a"))
+    @MethodSource("invalidFiles")
+    void reportsFileLineAndKeyInOneLine(InvalidFile invalid) throws IOException {
+        Path file = Files.writeString(folder.resolve("fleet.toml"), invalid.text());
+        String message = assertThrows(InvalidFleetFileException.class, () -> FleetConfigReader.read(file, "a"))
                 .getMessage();
-        String expected = file + ": line " + bad.line() + ": key " + bad.key() + ": " + bad.wrong();
-        assertTrue(told.startsWith(expected), () -> told + "\n instead of\n" + expected);
-        assertFalse(told.contains("\n"));
-        if (!bad.wrong().startsWith("is no TOML")) {
-            assertEquals(expected, told);
+        String expected = file + ": line " + invalid.line() + ": key " + invalid.key() + ": " + invalid.problem();
+        assertTrue(message.startsWith(expected), () -> message + "\n instead of\n" + expected);
+        assertFalse(message.contains("\n"));
+        if (!invalid.problem().startsWith("is no TOML")) {
+            assertEquals(expected, message);
         }
     }
 
     @Test
-    void tellsWhatIsNoTextOrTooMuch() throws IOException {
+    void reportsUnreadableNonUtf8AndOversizedFiles() throws IOException {
         Path file = folder.resolve("fleet.toml");
-        assertTold(file, "line 1: key -: cannot be read");
+        assertError(file, "line 1: key -: cannot be read");
         Files.write(file, new byte[] {(byte) 0xff, (byte) 0xfe, 'a'});
-        assertTold(file, "line 1: key -: is not in UTF-8");
-        Files.writeString(file, "#".repeat((int) FleetConfigReader.LARGEST_FILE + 1));
-        assertTold(file, "line 1: key -: is larger than 262144 bytes");
-        Files.writeString(file, fleetOf(FleetConfigReader.MOST_MEMBERS + 1));
-        assertTold(file, "line 1: key member: 1001 routers are named; at most 1000");
+        assertError(file, "line 1: key -: is not in UTF-8");
+        Files.writeString(file, "#".repeat((int) FleetConfigReader.MAX_FILE_BYTES + 1));
+        assertError(file, "line 1: key -: is larger than 262144 bytes");
+        Files.writeString(file, fleetOf(FleetConfigReader.MAX_MEMBERS + 1));
+        assertError(file, "line 1: key member: 1001 routers are named; at most 1000");
     }
 
-    private static void assertTold(Path file, String told) {
+    private static void assertError(Path file, String message) {
         assertEquals(
-                file + ": " + told,
+                file + ": " + message,
                 assertThrows(InvalidFleetFileException.class, () -> FleetConfigReader.read(file, "r-1"))
                         .getMessage());
     }
@@ -95,7 +96,7 @@
         return text.toString();
     }
 
-    static Stream<String> good() {
+    static Stream<String> validFiles() {
         return Stream.of(
                 "[[member]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n",
                 "[[member]]\n\"name\" = 'a' # the first\naddress = \"126.254.1.2:65535\"\n",
@@ -103,8 +104,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("good")
-    void takesWhatIsGood(String text) throws IOException, InvalidFleetFileException {
+    @MethodSource("validFiles")
+    void acceptsValidFiles(String text) throws IOException, InvalidFleetFileException {
         FleetConfig config = FleetConfigReader.read(Files.writeString(folder.resolve("fleet.toml"), text), "a");
         assertEquals("a", config.self());
         assertTrue(config.members().containsKey("a"));
@@ -139,9 +140,9 @@
         assertEquals(2, config.majority());
     }
 
-    /** Addresses may differ from router to router, all else may not. */
+    /** Only addresses may differ from router to router; all other values must be equal. */
     @Test
-    void theHashTellsAnotherFleetButNotAnotherAddress() throws IOException, InvalidFleetFileException {
+    void hashDependsOnMembersLeaseAndSkewButNotOnAddresses() throws IOException, InvalidFleetFileException {
         String hash = hash(fleetOf(3));
         assertEquals(16, hash.length());
         assertEquals(hash, hash("listen = \"127.0.0.1:9\"\n" + fleetOf(3).replace("10.0.0.1", "10.0.0.2")));
@@ -156,8 +157,8 @@
     }
 
     @Test
-    void hasDefaultsAndTakesTheLargestFleetAndTheExample() throws IOException, InvalidFleetFileException {
-        Path file = Files.writeString(folder.resolve("fleet.toml"), fleetOf(FleetConfigReader.MOST_MEMBERS));
+    void appliesDefaultsAndAcceptsTheLargestFleetAndTheExampleFile() throws IOException, InvalidFleetFileException {
+        Path file = Files.writeString(folder.resolve("fleet.toml"), fleetOf(FleetConfigReader.MAX_MEMBERS));
         FleetConfig config = FleetConfigReader.read(file, "r-1000");
         assertEquals(Duration.ofSeconds(3), config.lease());
         assertEquals(Duration.ofSeconds(2), config.skew());
--- a/router/src/test/java/stagepier/fleet/MemberTableTest.java
+++ b/router/src/test/java/stagepier/fleet/MemberTableTest.java
@@ -40,19 +40,19 @@
         return new MemberTable(config, incarnation, NOW, new Random(1));
     }
 
-    private static MemberUpdate news(String name, long incarnation, State state) {
+    private static MemberUpdate update(String name, long incarnation, State state) {
         return new MemberUpdate(
                 name, incarnation, state.ordinal(), List.of(), incarnation, new Facts("1", "hash", incarnation, 0, 0));
     }
 
-    /** News may come twice, late and in any order: all routers come to hold the same. */
+    /** Updates may arrive twice, late and in any order, and must still lead to the same state on all routers. */
     @Test
-    void theOrderOfNewsDoesNotMatter() {
+    void theOrderOfUpdatesDoesNotMatter() {
         List<MemberUpdate> all = new ArrayList<>();
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             for (State state : State.values()) {
-                all.add(news("b", incarnation, state));
-                all.add(news("c", incarnation * 2, incarnation < 3 ? state : State.ALIVE));
+                all.add(update("b", incarnation, state));
+                all.add(update("c", incarnation * 2, incarnation < 3 ? state : State.ALIVE));
             }
         }
         Random random = new Random(2);
@@ -61,7 +61,7 @@
             Collections.shuffle(all, random);
             table.apply("d", all, NOW);
             table.apply("d", all.subList(0, 6), NOW);
-            table.answered("c", NOW + 1);
+            table.recordReply("c", NOW + 1);
             table.tick(0, NOW + 2);
             FleetView view = table.changedView();
             assertEquals(
@@ -74,61 +74,62 @@
     }
 
     @Test
-    void whoAnsweredJustNowIsNotGoneWhoeverSaysSoButLearnsOfIt() {
+    void aMemberThatJustAnsweredStaysAliveAndTheClaimIsForwarded() {
         MemberTable table = table(100);
-        table.apply("b", news("b", 5, State.ALIVE), NOW);
-        table.answered("b", NOW);
-        table.apply("c", news("b", 5, State.GONE), NOW + Peers.ms(100));
+        table.apply("b", update("b", 5, State.ALIVE), NOW);
+        table.recordReply("b", NOW);
+        table.apply("c", update("b", 5, State.GONE), NOW + Peers.ms(100));
         assertEquals(State.ALIVE, table.changedView().member("b").orElseThrow().state());
         assertTrue(
-                table.news().news().stream().anyMatch(n -> n.member().equals("b") && n.state() == State.GONE.ordinal()),
-                "it is told on");
-        table.apply("b", news("b", 6, State.ALIVE), NOW + Peers.ms(200));
+                table.updates().recent().stream()
+                        .anyMatch(n -> n.member().equals("b") && n.state() == State.GONE.ordinal()),
+                "the update is forwarded");
+        table.apply("b", update("b", 6, State.ALIVE), NOW + Peers.ms(200));
         assertTrue(
-                table.news().news().stream()
+                table.updates().recent().stream()
                         .noneMatch(n -> n.member().equals("b") && n.state() == State.GONE.ordinal()),
-                "it was contradicted");
+                "the claim was refuted");
     }
 
     /**
-     * Found by a history: a router whose calls nobody answers hears others contradict each other, took them up for a while each time,
-     * and had not settled in 3 s.
+     * Found by a random history: a router whose calls were not answered received conflicting updates from the others,
+     * treated members as alive for a while after each of them, and had not settled within 3 s.
      */
     @Test
-    void whoIsOutIsInAgainWhenItAnswersNotWhenItSaysSo() {
+    void aGoneMemberIsAliveAgainWhenItAnswersNotWhenItOnlyClaimsSo() {
         MemberTable table = table(100);
-        table.apply("b", news("b", 5, State.ALIVE), NOW);
-        table.apply("c", news("c", 5, State.ALIVE), NOW);
-        table.answered("b", NOW);
-        table.answered("c", NOW);
+        table.apply("b", update("b", 5, State.ALIVE), NOW);
+        table.apply("c", update("c", 5, State.ALIVE), NOW);
+        table.recordReply("b", NOW);
+        table.recordReply("c", NOW);
         table.tick(0, NOW + Peers.ms(1));
-        table.apply("c", news("b", 5, State.GONE), NOW + Peers.ms(5_000));
-        table.apply("b", news("b", 6, State.ALIVE), NOW + Peers.ms(5_100));
+        table.apply("c", update("b", 5, State.GONE), NOW + Peers.ms(5_000));
+        table.apply("b", update("b", 6, State.ALIVE), NOW + Peers.ms(5_100));
         table.tick(0, NOW + Peers.ms(5_200));
         assertEquals(State.GONE, table.changedView().member("b").orElseThrow().state());
         assertTrue(
-                table.news().news().stream()
+                table.updates().recent().stream()
                         .anyMatch(n ->
                                 n.member().equals("b") && n.incarnation() == 6 && n.state() == State.ALIVE.ordinal()),
-                "it is told on");
-        table.answered("b", NOW + Peers.ms(5_300));
+                "the update is forwarded");
+        table.recordReply("b", NOW + Peers.ms(5_300));
         table.tick(0, NOW + Peers.ms(5_400));
         assertEquals(State.ALIVE, table.changedView().member("b").orElseThrow().state());
     }
 
-    /** Two processes that were started with one name contradict each other, but not in a storm. */
+    /** Two processes started with the same name refute each other; the rate must be limited. */
     @Test
-    void whoContradictsDoesSoABoundedNumberOfTimes() {
+    void refutationsAreRateLimited() {
         MemberTable table = table(100);
         for (int ms = 0; ms < 1_000; ms++) {
-            table.apply("b", news("a", table.incarnation() + 1, State.ALIVE), NOW + Peers.ms(ms));
+            table.apply("b", update("a", table.incarnation() + 1, State.ALIVE), NOW + Peers.ms(ms));
         }
         assertTrue(
                 table.incarnation() > 100 && table.incarnation() <= 100 + 2 * 10, "incarnation " + table.incarnation());
     }
 
     @Test
-    void whatMakesNoSenseChangesNothing() {
+    void malformedUpdatesChangeNothing() {
         MemberTable table = table(100);
         table.changedView();
         table.apply("b", new ArrayList<>(Collections.singletonList(null)), NOW);
--- a/router/src/test/java/stagepier/fleet/SimulatedNetwork.java
+++ b/router/src/test/java/stagepier/fleet/SimulatedNetwork.java
@@ -10,37 +10,38 @@
 import stagepier.tasks.Mailbox;
 
 /**
- * Calls between processes of a {@link VirtualWorld}: late, lost, cut one way or both, at random from the world's seed. Each message
- * goes through its written form. Like a stream, what one says to another arrives in order.
+ * Calls between processes of a {@link VirtualWorld}, with random delay and loss from the world's seed and with cuts in
+ * one direction or both. Each message is encoded and decoded. As on a stream, messages from one process to another
+ * arrive in order.
  */
 public final class SimulatedNetwork {
     private static final Gson GSON = new Gson();
 
     private final VirtualWorld world;
-    private final Map<String, Door> doors = new HashMap<>();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
     private final Map<String, Double> lastArrival = new HashMap<>();
-    private final Map<String, Long> heard = new HashMap<>();
-    private double leastDelay = 0.001;
-    private double mostDelay = 0.014;
+    private final Map<String, Long> delivered = new HashMap<>();
+    private double minDelay = 0.001;
+    private double maxDelay = 0.014;
     private double loss;
 
     public SimulatedNetwork(VirtualWorld world) {
         this.world = world;
     }
 
-    /** From here on messages take between these; in seconds. */
-    public void delay(double least, double most) {
-        leastDelay = least;
-        mostDelay = most;
+    /** Sets the range of the delay of later messages, in seconds. */
+    public void delay(double min, double max) {
+        minDelay = min;
+        maxDelay = max;
     }
 
-    /** The part of messages, calls and replies alike, that is lost; whoever called waits in vain. */
-    public void loss(double part) {
-        loss = part;
+    /** Sets the fraction of messages, both calls and replies, that is lost. */
+    public void loss(double fraction) {
+        loss = fraction;
     }
 
-    /** From here on {@code to} hears nothing of {@code from}: neither its calls nor its replies. */
+    /** Cuts or restores the direction from one process to another, for calls and replies. */
     public void cut(String from, String to, boolean cut) {
         if (cut) {
             cuts.add(from + ">" + to);
@@ -49,7 +50,7 @@
         }
     }
 
-    /** Cuts or joins all between two sides, both ways. */
+    /** Cuts or restores all links between two sides in both directions. */
     public void partition(Iterable<String> a, Iterable<String> b, boolean cut) {
         for (String x : a) {
             for (String y : b) {
@@ -64,34 +65,34 @@
         loss = 0;
     }
 
-    /** Messages that a process was sent, by its name: what the traffic costs. */
-    public long heard(String name) {
-        return heard.getOrDefault(name, 0L);
+    /** Returns the number of messages delivered to a process, by its name. */
+    public long delivered(String name) {
+        return delivered.getOrDefault(name, 0L);
     }
 
-    /** The calls of a process that starts now; whatever was on its way to an earlier one of that name is lost. */
+    /** Returns the calls of a process that starts now; messages in flight to an earlier one of that name are lost. */
     public FleetRpc calls(VirtualWorld.Node node) {
-        return new Door(node);
+        return new Endpoint(node);
     }
 
-    private boolean carry(String from, VirtualWorld.Node to, Runnable what) {
+    private boolean deliver(String from, VirtualWorld.Node to, Runnable action) {
         if (cuts.contains(from + ">" + to.name()) || world.random().nextDouble() < loss) {
             return false;
         }
-        heard.merge(to.name(), 1L, Long::sum);
-        double at = world.seconds() + leastDelay + world.random().nextDouble() * (mostDelay - leastDelay);
-        at = Math.max(at, lastArrival.getOrDefault(from + ">" + to.name(), 0.0));
-        lastArrival.put(from + ">" + to.name(), at);
-        world.reach(Duration.ofNanos((long) ((at - world.seconds()) * 1e9)), to, () -> {
-            // A cut that came while it was on its way takes it along.
+        delivered.merge(to.name(), 1L, Long::sum);
+        double arrival = world.seconds() + minDelay + world.random().nextDouble() * (maxDelay - minDelay);
+        arrival = Math.max(arrival, lastArrival.getOrDefault(from + ">" + to.name(), 0.0));
+        lastArrival.put(from + ">" + to.name(), arrival);
+        world.deliver(Duration.ofNanos((long) ((arrival - world.seconds()) * 1e9)), to, () -> {
+            // A cut that starts while the message is in flight drops it.
             if (!cuts.contains(from + ">" + to.name())) {
-                what.run();
+                action.run();
             }
         });
         return true;
     }
 
-    private static String written(Message message) {
+    private static String encode(Message message) {
         String text = GSON.toJson(message);
         if (text.getBytes(StandardCharsets.UTF_8).length > FleetRpc.MAX_MESSAGE_BYTES) {
             throw new IllegalArgumentException("a message of " + text.length() + " characters: " + message.kind());
@@ -99,52 +100,52 @@
         return text;
     }
 
-    private final class Door implements FleetRpc {
+    private final class Endpoint implements FleetRpc {
         private final VirtualWorld.Node node;
-        private final Map<String, Handler> answerers = new HashMap<>();
+        private final Map<String, Handler> handlers = new HashMap<>();
 
-        Door(VirtualWorld.Node node) {
+        Endpoint(VirtualWorld.Node node) {
             this.node = node;
         }
 
         @Override
-        public void answer(String part, Handler answerer) {
-            answerers.put(part, answerer);
+        public void answer(String part, Handler handler) {
+            handlers.put(part, handler);
         }
 
         @Override
         public void start() {
-            doors.put(node.name(), this);
+            endpoints.put(node.name(), this);
         }
 
         @Override
-        public Message call(String member, Message message, Duration most)
+        public Message call(String member, Message message, Duration timeout)
                 throws NoReplyException, InterruptedException {
-            String text = written(message);
+            String text = encode(message);
             Mailbox<String> reply = node.mailbox(1);
-            Door door = doors.get(member);
-            if (door != null && !node.isDead()) {
-                carry(node.name(), door.node, () -> door.heard(this, text, reply));
+            Endpoint endpoint = endpoints.get(member);
+            if (endpoint != null && !node.isDead()) {
+                deliver(node.name(), endpoint.node, () -> endpoint.receive(this, text, reply));
             }
-            String said = reply.take(most);
-            if (said == null) {
-                throw new NoReplyException(member + " said nothing to " + message.kind());
+            String encodedReply = reply.take(timeout);
+            if (encodedReply == null) {
+                throw new NoReplyException(member + " did not answer " + message.kind());
             }
-            return GSON.fromJson(said, Message.class);
+            return GSON.fromJson(encodedReply, Message.class);
         }
 
-        private void heard(Door caller, String text, Mailbox<String> reply) {
+        private void receive(Endpoint caller, String text, Mailbox<String> reply) {
             Message call = GSON.fromJson(text, Message.class);
-            Handler answerer = answerers.get(call.part());
+            Handler handler = handlers.get(call.part());
             try {
-                if (answerer != null) {
-                    String said = written(answerer.answer(caller.node.name(), call));
-                    carry(node.name(), caller.node, () -> reply.put(said));
+                if (handler != null) {
+                    String encodedReply = encode(handler.answer(caller.node.name(), call));
+                    deliver(node.name(), caller.node, () -> reply.put(encodedReply));
                 }
             } catch (Message.MalformedException e) {
                 throw new IllegalStateException(e);
             } catch (InterruptedException e) {
-                // It is being stopped: nothing is answered.
+                // The process is being stopped: no reply is sent.
                 return;
             }
         }
--- a/router/src/test/java/stagepier/fleet/TcpFleetRpcTest.java
+++ b/router/src/test/java/stagepier/fleet/TcpFleetRpcTest.java
@@ -31,7 +31,7 @@
 
 @Timeout(30)
 class TcpFleetRpcTest {
-    private static final Duration MOST = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     private final SortedMap<String, InetSocketAddress> members = new TreeMap<>();
     private final List<Process> processes = new ArrayList<>();
@@ -39,7 +39,7 @@
     private final class Process {
         private final LiveTasks tasks = new LiveTasks(Clock.systemUTC());
         private final TcpFleetRpc calls;
-        private final CountDownLatch held = new CountDownLatch(1);
+        private final CountDownLatch release = new CountDownLatch(1);
 
         Process(String name) {
             calls = new TcpFleetRpc(
@@ -60,7 +60,7 @@
                     throw new Message.MalformedException("bad");
                 }
                 if (call.kind().equals("test.hold")) {
-                    held.await();
+                    release.await();
                 }
                 return Message.of("test.heard", from + ">" + name + ":" + call.read(String.class));
             });
@@ -68,29 +68,29 @@
             processes.add(this);
         }
 
-        String say(String to, String text) throws Exception {
-            return calls.call(to, Message.of("test.say", text), MOST).read(String.class);
+        String send(String to, String text) throws Exception {
+            return calls.call(to, Message.of("test.say", text), TIMEOUT).read(String.class);
         }
 
-        /** Until it is heard: a member may be about to listen. */
-        String sayUntilHeard(String to, String text) throws Exception {
-            String[] said = new String[1];
-            until(() -> {
+        /** Retries until a reply arrives, since the member may not listen yet. */
+        String sendUntilAnswered(String to, String text) throws Exception {
+            String[] reply = new String[1];
+            await(() -> {
                 try {
-                    said[0] = say(to, text);
+                    reply[0] = send(to, text);
                     return true;
                 } catch (FleetRpc.NoReplyException e) {
                     return false;
                 }
             });
-            return said[0];
+            return reply[0];
         }
     }
 
-    private static void until(Callable<Boolean> holds) throws Exception {
+    private static void await(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "it never came to hold");
+        while (!condition.call()) {
+            assertTrue(System.nanoTime() < end, "the condition did not become true within 10 s");
             Thread.sleep(5);
         }
     }
@@ -107,30 +107,30 @@
     @AfterEach
     void stop() {
         processes.forEach(p -> {
-            p.held.countDown();
+            p.release.countDown();
             p.tasks.stop();
         });
     }
 
     @Test
-    void eachOneCallsEachOther() throws Exception {
+    void membersCallEachOther() throws Exception {
         Process a = new Process("a");
         Process b = new Process("b");
-        assertEquals("a>b:x", a.sayUntilHeard("b", "x"));
-        assertEquals("b>a:y\n\u00e9", b.sayUntilHeard("a", "y\n\u00e9"));
+        assertEquals("a>b:x", a.sendUntilAnswered("b", "x"));
+        assertEquals("b>a:y\n\u00e9", b.sendUntilAnswered("a", "y\n\u00e9"));
         String large = "z".repeat(FleetRpc.MAX_MESSAGE_BYTES - 100);
-        assertEquals("a>b:" + large, a.say("b", large));
-        assertThrows(IllegalArgumentException.class, () -> a.say("b", "z".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100)));
-        assertThrows(FleetRpc.NoReplyException.class, () -> a.calls.call("b", Message.of("other.say", 1), MOST));
-        assertThrows(IllegalArgumentException.class, () -> a.say("a", "to itself"));
-        assertEquals("a>b:again", a.say("b", "again"));
+        assertEquals("a>b:" + large, a.send("b", large));
+        assertThrows(IllegalArgumentException.class, () -> a.send("b", "z".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100)));
+        assertThrows(FleetRpc.NoReplyException.class, () -> a.calls.call("b", Message.of("other.say", 1), TIMEOUT));
+        assertThrows(IllegalArgumentException.class, () -> a.send("a", "to itself"));
+        assertEquals("a>b:again", a.send("b", "again"));
     }
 
     @Test
-    void manyCallAtATimeAndEachHasItsOwnReply() throws Exception {
+    void concurrentCallsGetTheirOwnReplies() throws Exception {
         Process a = new Process("a");
         new Process("b");
-        a.sayUntilHeard("b", "x");
+        a.sendUntilAnswered("b", "x");
         ConcurrentLinkedQueue<String> wrong = new ConcurrentLinkedQueue<>();
         CountDownLatch done = new CountDownLatch(8);
         for (int t = 0; t < 8; t++) {
@@ -139,11 +139,11 @@
                 for (int i = 0; i < 500; i++) {
                     try {
                         String text = task + "-" + i;
-                        String said = a.calls
-                                .call("b", Message.of("test.say", text), MOST)
+                        String reply = a.calls
+                                .call("b", Message.of("test.say", text), TIMEOUT)
                                 .read(String.class);
-                        if (!said.equals("a>b:" + text)) {
-                            wrong.add(said);
+                        if (!reply.equals("a>b:" + text)) {
+                            wrong.add(reply);
                         }
                     } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
                         wrong.add(String.valueOf(e));
@@ -173,12 +173,12 @@
                 "{\"name\":\"b\",\"target\":\"a\"}\n{\"id\":1,\"kind\":\"test.say\",\"body\":{}}\n",
                 "{\"name\":\"b\",\"target\":\"a\"}\n{\"id\":\"x\",\"kind\":\"test.say\",\"body\":1}\n"
             })
-    void garbageClosesThatLinkAndIsCounted(String said) throws Exception {
+    void malformedDataClosesTheLinkAndIsCounted(String data) throws Exception {
         Process a = new Process("a");
-        assertShutOut(said.equals("LONG") ? "x".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100) : said);
-        until(() -> a.calls.garbage() == 1);
-        assertEquals(0, a.calls.strangers());
-        assertEquals("b>a:x", new Process("b").sayUntilHeard("a", "x"));
+        assertLinkIsClosed(data.equals("LONG") ? "x".repeat(FleetRpc.MAX_MESSAGE_BYTES + 100) : data);
+        await(() -> a.calls.malformed() == 1);
+        assertEquals(0, a.calls.rejected());
+        assertEquals("b>a:x", new Process("b").sendUntilAnswered("a", "x"));
     }
 
     @ParameterizedTest
@@ -190,89 +190,92 @@
                 "{\"name\":\"b\",\"target\":\"c\"}\n",
                 "{\"name\":\"b\"}\n"
             })
-    void aStrangerIsShutOutAndCounted(String said) throws Exception {
+    void aNonMemberIsRejectedAndCounted(String data) throws Exception {
         Process a = new Process("a");
-        assertShutOut(said);
-        until(() -> a.calls.strangers() == 1);
-        assertEquals(0, a.calls.garbage());
+        assertLinkIsClosed(data);
+        await(() -> a.calls.rejected() == 1);
+        assertEquals(0, a.calls.malformed());
     }
 
-    /** A socket whose connect has failed is of no further use: a member that is about to listen needs a new one. */
+    /** Connects to router a, with a new socket for each attempt, since a socket is unusable after a failed connect. */
     private Socket connected() throws Exception {
-        Socket[] up = new Socket[1];
-        until(() -> {
+        Socket[] connected = new Socket[1];
+        await(() -> {
             try {
-                up[0] = new Socket(
+                connected[0] = new Socket(
                         members.get("a").getAddress(), members.get("a").getPort());
                 return true;
             } catch (IOException e) {
                 return false;
             }
         });
-        return up[0];
+        return connected[0];
     }
 
-    private void assertShutOut(String said) throws Exception {
+    private void assertLinkIsClosed(String data) throws Exception {
         try (Socket socket = connected()) {
-            socket.getOutputStream().write(said.getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write(data.getBytes(StandardCharsets.UTF_8));
             socket.setSoTimeout(5_000);
             try {
                 assertEquals(-1, socket.getInputStream().read());
             } catch (java.net.SocketException e) {
-                // Closed before it had read all that was said.
+                // The router closed the link before it had read all data.
                 return;
             }
         }
     }
 
-    /** Another router's file may name one address twice: whoever listens there answers as itself only. */
+    /** The file of another router may name one address twice; the process there must answer as itself only. */
     @Test
-    void twoNamesOnOneAddressAreNotTwoMembers() throws Exception {
+    void twoNamesWithOneAddressAreNotTwoMembers() throws Exception {
         members.put("c", members.get("b"));
         Process b = new Process("b");
         Process a = new Process("a");
-        assertEquals("a>b:x", a.sayUntilHeard("b", "x"));
+        assertEquals("a>b:x", a.sendUntilAnswered("b", "x"));
         assertThrows(
                 FleetRpc.NoReplyException.class,
                 () -> a.calls.call("c", Message.of("test.say", "x"), Duration.ofMillis(300)));
-        until(() -> b.calls.strangers() > 0);
+        await(() -> b.calls.rejected() > 0);
     }
 
     @Test
-    void aLinkThatBreaksIsOpenedAgain() throws Exception {
+    void aBrokenLinkIsReopened() throws Exception {
         Process a = new Process("a");
-        Process before = new Process("b");
-        a.sayUntilHeard("b", "x");
-        before.tasks.stop();
+        Process previous = new Process("b");
+        a.sendUntilAnswered("b", "x");
+        previous.tasks.stop();
         assertThrows(
                 FleetRpc.NoReplyException.class,
                 () -> a.calls.call("b", Message.of("test.say", "x"), Duration.ofMillis(300)));
         new Process("b");
-        assertEquals("a>b:y", a.sayUntilHeard("b", "y"));
+        assertEquals("a>b:y", a.sendUntilAnswered("b", "y"));
     }
 
     @Test
-    void aCallThatIsHeldKeepsNoOtherMemberWaitingAndEndsInTime() throws Exception {
+    void aPendingCallTimesOutAndDelaysNoOtherMember() throws Exception {
         Process a = new Process("a");
         new Process("b");
         new Process("c");
-        a.sayUntilHeard("b", "x");
-        a.sayUntilHeard("c", "x");
+        a.sendUntilAnswered("b", "x");
+        a.sendUntilAnswered("c", "x");
         long began = System.nanoTime();
         assertThrows(
                 FleetRpc.NoReplyException.class,
                 () -> a.calls.call("b", Message.of("test.hold", "x"), Duration.ofMillis(100)));
         assertTrue(System.nanoTime() - began < 3_000_000_000L);
-        assertEquals("a>c:x", a.say("c", "x"));
+        assertEquals("a>c:x", a.send("c", "x"));
     }
 
-    /** It accepts and reads nothing, as a process that stands still: nobody who calls it waits beyond its time, nothing piles up. */
+    /**
+     * A member that accepts but never reads, like a stopped process, must not delay callers beyond their timeout nor
+     * let data accumulate.
+     */
     @Test
-    void aMemberThatStandsStillHoldsNoWriterAndNoStop() throws Exception {
-        try (ServerSocket still = new ServerSocket()) {
-            still.bind(members.get("b"));
+    void aMemberThatDoesNotReadBlocksNeitherWritersNorStop() throws Exception {
+        try (ServerSocket silent = new ServerSocket()) {
+            silent.bind(members.get("b"));
             Process a = new Process("a");
-            until(() -> a.calls.status().startsWith("fleet_links open=1 "));
+            await(() -> a.calls.status().startsWith("fleet_links open=1 "));
             String large = "z".repeat(FleetRpc.MAX_MESSAGE_BYTES - 100);
             long began = System.nanoTime();
             for (int i = 0; i < 200; i++) {
@@ -281,19 +284,19 @@
                         () -> a.calls.call("b", Message.of("test.say", large), Duration.ofMillis(1)));
             }
             assertTrue(System.nanoTime() - began < 10_000_000_000L);
-            stopsInTime(a);
+            assertStopsInTime(a);
         }
     }
 
     @Test
-    void aStopEndsWhoListensWhoAnswersAndWhoHasNotNamedItself() throws Exception {
+    void stopClosesListenerAcceptedLinksAndUnidentifiedLinks() throws Exception {
         Process a = new Process("a");
         Process b = new Process("b");
-        a.sayUntilHeard("b", "x");
-        b.sayUntilHeard("a", "x");
-        try (Socket nameless = new Socket()) {
-            nameless.connect(members.get("a"), 1_000);
-            stopsInTime(a);
+        a.sendUntilAnswered("b", "x");
+        b.sendUntilAnswered("a", "x");
+        try (Socket unidentified = new Socket()) {
+            unidentified.connect(members.get("a"), 1_000);
+            assertStopsInTime(a);
             try (ServerSocket again = new ServerSocket()) {
                 again.setReuseAddress(true);
                 again.bind(members.get("a"));
@@ -301,10 +304,10 @@
         }
     }
 
-    private static void stopsInTime(Process a) throws Exception {
+    private static void assertStopsInTime(Process a) throws Exception {
         long began = System.nanoTime();
         a.tasks.stop();
         assertTrue(System.nanoTime() - began < 2_000_000_000L, "the stop took 2 s or more");
-        until(() -> a.calls.openSockets() == 0);
+        await(() -> a.calls.openSockets() == 0);
     }
 }
--- a/router/src/test/java/stagepier/fleet/ViewFaults.java
+++ b/router/src/test/java/stagepier/fleet/ViewFaults.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Faults of a fleet that keeps a view, and which sides are left when they have come to an end. */
+/** Injects faults into a fleet that maintains a view, and computes the connected sides that remain afterwards. */
 final class ViewFaults {
-    /** Named, so that a table can be made of them; each leaves the fleet in a state that lasts. */
+    /** Faults by name, for tables; after each of them the fleet is in a lasting state. */
     enum Fault {
         KILL_ONE,
         KILL_TEN_OF_FOURTEEN,
@@ -62,7 +62,7 @@
         }
     }
 
-    void part(Collection<String> a, Collection<String> b, boolean cut) {
+    void partition(Collection<String> a, Collection<String> b, boolean cut) {
         cut(a, b, cut);
         cut(b, a, cut);
     }
@@ -73,22 +73,22 @@
         fleet.net.delay(0.001, 0.014);
     }
 
-    List<String> some(int many) {
+    List<String> randomMembers(int count) {
         List<String> all = new ArrayList<>(fleet.names);
         Collections.shuffle(all, random);
-        return all.subList(0, many);
+        return all.subList(0, count);
     }
 
-    List<String> without(Collection<String> some) {
-        return fleet.names.stream().filter(n -> !some.contains(n)).toList();
+    List<String> allExcept(Collection<String> members) {
+        return fleet.names.stream().filter(n -> !members.contains(n)).toList();
     }
 
-    void kill(Collection<String> some) {
-        some.stream().filter(fleet::isUp).forEach(fleet::kill);
+    void kill(Collection<String> members) {
+        members.stream().filter(fleet::isUp).forEach(fleet::kill);
     }
 
-    void start(Collection<String> some) {
-        some.stream().filter(n -> !fleet.isUp(n)).forEach(n -> {
+    void start(Collection<String> members) {
+        members.stream().filter(n -> !fleet.isUp(n)).forEach(n -> {
             left.remove(n);
             fleet.start(n, Duration.ofMillis(random.nextInt(4_000) - 2_000));
         });
@@ -99,12 +99,12 @@
         fleet.process(name).membership.leave();
     }
 
-    /** Does it; when it returns the last part of it has just happened. */
-    void play(Fault fault) {
+    /** Injects a fault; returns right after its last step. */
+    void inject(Fault fault) {
         int n = fleet.names.size();
-        List<String> half = some(n / 2);
+        List<String> half = randomMembers(n / 2);
         List<String> one = half.subList(0, 1);
-        List<String> most = some(n * 10 / 14);
+        List<String> most = randomMembers(n * 10 / 14);
         List<String> all = fleet.names;
         switch (fault) {
             case KILL_ONE -> kill(one);
@@ -122,24 +122,24 @@
                     start(List.of(name));
                 }
             }
-            case HALVES -> part(half, without(half), true);
-            case ONE_ALONE -> part(one, all, true);
+            case HALVES -> partition(half, allExcept(half), true);
+            case ONE_ALONE -> partition(one, all, true);
             case ONE_WAY_PAIR -> cut(one, half.subList(1, 2), true);
             case MUTE -> cut(one, all, true);
             case DEAF -> cut(all, one, true);
-            case ONE_WAY_HALVES -> cut(half, without(half), true);
-            case BRIDGE -> part(half, without(half).subList(1, n - half.size()), true);
-            case HALVES_HEALED -> healed(Fault.HALVES);
-            case ONE_ALONE_HEALED -> healed(Fault.ONE_ALONE);
-            case MUTE_HEALED -> healed(Fault.MUTE);
-            case DEAF_HEALED -> healed(Fault.DEAF);
-            case ONE_WAY_HALVES_HEALED -> healed(Fault.ONE_WAY_HALVES);
-            case BRIDGE_HEALED -> healed(Fault.BRIDGE);
+            case ONE_WAY_HALVES -> cut(half, allExcept(half), true);
+            case BRIDGE -> partition(half, allExcept(half).subList(1, n - half.size()), true);
+            case HALVES_HEALED -> injectAndHeal(Fault.HALVES);
+            case ONE_ALONE_HEALED -> injectAndHeal(Fault.ONE_ALONE);
+            case MUTE_HEALED -> injectAndHeal(Fault.MUTE);
+            case DEAF_HEALED -> injectAndHeal(Fault.DEAF);
+            case ONE_WAY_HALVES_HEALED -> injectAndHeal(Fault.ONE_WAY_HALVES);
+            case BRIDGE_HEALED -> injectAndHeal(Fault.BRIDGE);
             case FLAP -> {
                 for (int i = 0; i < 3; i++) {
-                    part(one, all, true);
+                    partition(one, all, true);
                     fleet.run(2);
-                    part(one, all, false);
+                    partition(one, all, false);
                     fleet.run(i < 2 ? 2 : 0);
                 }
             }
@@ -156,33 +156,33 @@
         }
     }
 
-    private void healed(Fault fault) {
-        play(fault);
+    private void injectAndHeal(Fault fault) {
+        inject(fault);
         fleet.run(random.nextDouble() * 8);
         heal();
     }
 
-    /** Who can call each other both ways, straight or through others: each such side is to hold one view. */
+    /** Returns the sets of running members that can call each other both ways, directly or through others. */
     Collection<Set<String>> sides() {
         Map<String, Set<String>> sides = new HashMap<>();
         for (String name : fleet.names) {
             if (fleet.isUp(name) && !left.contains(name) && !sides.containsKey(name)) {
                 Set<String> side = new HashSet<>();
-                reach(name, side);
+                addReachable(name, side);
                 side.forEach(member -> sides.put(member, side));
             }
         }
         return new HashSet<>(sides.values());
     }
 
-    private void reach(String name, Set<String> side) {
+    private void addReachable(String name, Set<String> side) {
         if (side.add(name)) {
             for (String other : fleet.names) {
                 if (fleet.isUp(other)
                         && !left.contains(other)
                         && !cuts.contains(name + ">" + other)
                         && !cuts.contains(other + ">" + name)) {
-                    reach(other, side);
+                    addReachable(other, side);
                 }
             }
         }
@@ -192,16 +192,16 @@
         return fleet.names.stream().filter(n -> !fleet.isUp(n)).toList();
     }
 
-    /** The sides agree within so many seconds, and nothing changes for so many more. */
-    void check(String what, double most, double stays) {
+    /** Checks that each side agrees within the settle time and that nothing changes for the stable time after it. */
+    void check(String label, double settleSeconds, double stableSeconds) {
         Collection<Set<String>> sides = sides();
-        fleet.run(most);
+        fleet.run(settleSeconds);
         if (fleet.disagreement(sides) != null) {
-            throw new AssertionError(what + " not settled: " + fleet.disagreement(sides));
+            throw new AssertionError(label + " did not settle: " + fleet.disagreement(sides));
         }
-        String changes = fleet.changesWithin(stays, sides);
+        String changes = fleet.changesWithin(stableSeconds, sides);
         if (changes != null) {
-            throw new AssertionError(what + " does not stay: " + changes);
+            throw new AssertionError(label + " did not stay settled: " + changes);
         }
     }
 }
--- a/router/src/test/java/stagepier/fleet/ViewFleet.java
+++ b/router/src/test/java/stagepier/fleet/ViewFleet.java
@@ -16,7 +16,7 @@
 import stagepier.fleet.FleetView.Member;
 import stagepier.fleet.FleetView.State;
 
-/** Routers that do nothing but keep a view, in virtual time, and what they say of each other. */
+/** Routers in virtual time that only maintain a view, with a record of their view changes. */
 final class ViewFleet implements AutoCloseable {
     static {
         // Thousands of histories would fill the log.
@@ -28,14 +28,15 @@
     final List<String> names = new ArrayList<>();
     private final SortedMap<String, InetSocketAddress> addresses = new TreeMap<>();
     private final Map<String, Process> processes = new HashMap<>();
-    /** What the processes told, a line each. */
+    /** Changes of views, one line per change. */
     final List<String> lines = new ArrayList<>();
-    /** Who was called gone while it was alive, by whom and when. */
-    final List<String> wronged = new ArrayList<>();
-    /** How many views were taken up, and when the last one. */
-    int taken;
+    /** Running members that were declared gone: time, declaring router and member. */
+    final List<String> falselyGone = new ArrayList<>();
+    /** Number of views published. */
+    int published;
 
-    double lastTaken;
+    /** Time of the last published view in seconds. */
+    double lastPublished;
 
     final class Process {
         final VirtualWorld.Node node;
@@ -43,14 +44,14 @@
         private long epoch;
         private List<?> states = List.of();
 
-        Process(String name, Duration wallOff) {
-            node = world.node(name, wallOff);
+        Process(String name, Duration wallOffset) {
+            node = world.node(name, wallOffset);
             FleetRpc calls = net.calls(node);
             membership = new Membership(
                     node,
                     calls,
                     config(name),
-                    (event, values) -> tell(name, event, values),
+                    (event, values) -> record(name, event, values),
                     world.random().nextLong());
             membership.facts(new FleetView.Facts("1", config(name).hash(), 1, 0, 0));
             membership.start();
@@ -64,18 +65,19 @@
             return different.toString();
         }
 
-        private void tell(String name, String event, Object... values) {
+        private void record(String name, String event, Object... values) {
             long next = (Long) values[1];
             if (next < epoch) {
-                throw new AssertionError("the epoch of " + name + " ran back from " + epoch + " to " + next);
+                throw new AssertionError("the epoch of " + name + " decreased from " + epoch + " to " + next);
             }
             epoch = next;
-            taken++;
-            lastTaken = world.seconds();
+            published++;
+            lastPublished = world.seconds();
             for (Object state : (List<?>) values[5]) {
                 String[] parts = state.toString().split(":");
                 if (parts[2].equals("GONE") && !parts[1].equals("0") && isUp(parts[0])) {
-                    wronged.add(String.format(Locale.ROOT, "%.2f %s calls %s gone", world.seconds(), name, parts[0]));
+                    falselyGone.add(
+                            String.format(Locale.ROOT, "%.2f %s calls %s gone", world.seconds(), name, parts[0]));
                 }
             }
             if (lines.size() < 20_000) {
@@ -95,15 +97,15 @@
         }
     }
 
-    /** All processes of the fleet, within a second of each other, and let settle. */
+    /** Starts all processes of the fleet and waits until the views have settled. */
     static ViewFleet settled(int size, long seed) {
         ViewFleet fleet = new ViewFleet(size, seed);
         fleet.names.forEach(n -> fleet.start(n, Duration.ZERO));
         if (fleet.settleTime(10, Set.of(fleet.names)) < 0) {
             throw new AssertionError(
-                    "the fleet did not settle at its start: " + fleet.disagreement(Set.of(fleet.names)));
+                    "the fleet did not settle after its start: " + fleet.disagreement(Set.of(fleet.names)));
         }
-        fleet.wronged.clear();
+        fleet.falselyGone.clear();
         return fleet;
     }
 
@@ -120,11 +122,11 @@
                 null);
     }
 
-    void start(String name, Duration wallOff) {
+    void start(String name, Duration wallOffset) {
         if (isUp(name)) {
             throw new IllegalStateException(name + " is up");
         }
-        processes.put(name, new Process(name, wallOff));
+        processes.put(name, new Process(name, wallOffset));
     }
 
     void kill(String name) {
@@ -147,7 +149,7 @@
         world.run(Duration.ofNanos((long) (seconds * 1e9)));
     }
 
-    /** What keeps the sides from holding, each, that its own are alive and all others not; null where nothing does. */
+    /** Returns why some side does not see exactly its own members as alive; null if every side agrees. */
     String disagreement(Collection<? extends Collection<String>> sides) {
         for (Collection<String> side : sides) {
             Set<String> own = new HashSet<>(side);
@@ -174,31 +176,32 @@
     private static String difference(String name, List<Member> held, List<Member> other) {
         List<Member> different = new ArrayList<>(held);
         different.removeAll(other);
-        return name + " holds " + different.size() + " otherwise, such as " + different.get(0) + " and another "
+        return name + " holds " + different.size() + " members differently, such as " + different.get(0)
+                + " and another "
                 + other.stream()
                         .filter(m -> m.name().equals(different.get(0).name()))
                         .findFirst();
     }
 
-    /** Seconds until the sides agree, each by itself; -1 where they don't in so many. */
-    double settleTime(double most, Collection<? extends Collection<String>> sides) {
-        double began = world.seconds();
+    /** Advances the time until each side agrees; returns the seconds, or -1 if that takes longer than the limit. */
+    double settleTime(double maxSeconds, Collection<? extends Collection<String>> sides) {
+        double start = world.seconds();
         while (disagreement(sides) != null) {
-            if (world.seconds() - began > most) {
+            if (world.seconds() - start > maxSeconds) {
                 return -1;
             }
             run(0.02);
         }
-        return world.seconds() - began;
+        return world.seconds() - start;
     }
 
-    /** Lets time go on; what came to be held anew meanwhile, if anything. */
+    /** Advances the time and returns a description of the changes in it; null for none. */
     String changesWithin(double seconds, Collection<? extends Collection<String>> sides) {
-        int before = taken;
+        int before = published;
         run(seconds);
-        return taken == before
+        return published == before
                 ? disagreement(sides)
-                : (taken - before) + " views taken up, such as "
+                : (published - before) + " views published, such as "
                         + lines.subList(Math.max(0, lines.size() - 6), lines.size());
     }
 
