--- a/router/src/test/java/stagepier/fleet/ViewHistoriesTest.java
+++ b/router/src/test/java/stagepier/fleet/ViewHistoriesTest.java
@@ -20,44 +20,50 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import stagepier.fleet.ViewFaults.Fault;
 
-/** The promises of the view over many histories, each from a seed, in virtual time. */
+/** Checks the guarantees of the view over many random histories in virtual time, one for each seed. */
 @Timeout(240)
 class ViewHistoriesTest {
-    /** How many of each kind; more by {@code -Dview.histories}, to search. */
+    /** Number of histories of each kind; {@code -Dview.histories} raises it for searches. */
     private static final int HISTORIES = Integer.getInteger("view.histories", 60);
 
     private static final long FIRST_SEED = Long.getLong("view.seed", 1);
-    private static final int AT_A_TIME = 4;
-    private static final double SETTLES = 3;
+    private static final int CONCURRENT_HISTORIES = 4;
+    private static final double SETTLE_SECONDS = 3;
 
-    /** P1 and P3: some faults after and into each other; then each side agrees within 3 s, says whether it is a majority, and stays so. */
+    /**
+     * P1 and P3: after several, partly overlapping faults each side agrees within 3 s, reports whether it is a
+     * majority, and stays settled.
+     */
     @ParameterizedTest
     @CsvSource({"5, 1, 5", "14, 1, 5", "14, 5, 60"})
-    void settlesAfterTheLastFaultAndStays(int size, int one, double stays) {
-        each(HISTORIES / one, seed -> {
+    void settlesAfterTheLastFaultAndStaysSettled(int size, int divisor, double stableSeconds) {
+        forEachSeed(HISTORIES / divisor, seed -> {
             try (ViewFleet fleet = ViewFleet.settled(size, seed)) {
                 ViewFaults faults = new ViewFaults(fleet);
                 Random random = fleet.world.random();
-                StringBuilder played = new StringBuilder();
+                StringBuilder injected = new StringBuilder();
                 for (int i = 1 + random.nextInt(3); i > 0; i--) {
                     Fault fault = Fault.values()[random.nextInt(Fault.values().length)];
-                    played.append(fault).append(' ');
-                    faults.play(fault);
+                    injected.append(fault).append(' ');
+                    faults.inject(fault);
                     fleet.run(random.nextDouble() * 3);
                 }
                 if (random.nextBoolean()) {
                     faults.heal();
                     faults.start(faults.down());
                 }
-                faults.check(seed + ": " + played, SETTLES, stays);
+                faults.check(seed + ": " + injected, SETTLE_SECONDS, stableSeconds);
             }
         });
     }
 
-    /** P2: ten minutes at fourteen, up to 100 ms on the way, one message in twenty lost, links cut at random: nobody is called gone. */
+    /**
+     * P2: four histories of 150 s, ten minutes in all, in a fleet of 14 with delays of up to 100 ms, 5 % message loss
+     * and random cuts: no running member may be declared gone.
+     */
     @Test
-    void nobodyThatLivesIsCalledGoneOverLinksThatJitterLoseAndBreak() {
-        each(4, seed -> {
+    void noRunningMemberIsDeclaredGoneOverLinksWithJitterLossAndCuts() {
+        forEachSeed(4, seed -> {
             try (ViewFleet fleet = ViewFleet.settled(14, seed)) {
                 fleet.net.delay(0.001, 0.101);
                 fleet.net.loss(0.05);
@@ -73,45 +79,47 @@
                     });
                     fleet.run(random.nextDouble());
                 }
-                assertEquals(List.of(), fleet.wronged, "seed " + seed);
+                assertEquals(List.of(), fleet.falselyGone, "seed " + seed);
             }
         });
     }
 
-    /** P4: what a router is sent does not grow with the fleet. */
+    /** P4: the number of messages that a router receives does not grow with the fleet. */
     @Test
-    void theTrafficOfARouterDoesNotGrowWithTheFleet() {
-        double small = messagesASecond(7);
-        double large = messagesASecond(42);
+    void theTrafficOfARouterDoesNotGrowWithTheFleetSize() {
+        double small = messagesPerSecond(7);
+        double large = messagesPerSecond(42);
         assertTrue(
-                small < 32 && large < 32, "a router of 7 is sent " + small + " messages a second, one of 42 " + large);
+                small < 32 && large < 32,
+                "messages received per router and second: " + small + " in a fleet of 7, " + large
+                        + " in a fleet of 42");
     }
 
-    private static double messagesASecond(int size) {
+    private static double messagesPerSecond(int size) {
         try (ViewFleet fleet = ViewFleet.settled(size, FIRST_SEED)) {
-            long before = fleet.names.stream().mapToLong(fleet.net::heard).sum();
+            long before = fleet.names.stream().mapToLong(fleet.net::delivered).sum();
             fleet.run(5);
-            return (fleet.names.stream().mapToLong(fleet.net::heard).sum() - before) / 5.0 / size;
+            return (fleet.names.stream().mapToLong(fleet.net::delivered).sum() - before) / 5.0 / size;
         }
     }
 
-    /** The same rules where news takes several steps to get round. */
+    /** The same guarantees in a fleet in which updates need several hops to reach all members. */
     @ParameterizedTest
     @CsvSource({"KILL_ONE", "RESTART", "ONE_ALONE_HEALED"})
     void settlesInALargeFleet(Fault fault) {
         try (ViewFleet fleet = ViewFleet.settled(30, FIRST_SEED)) {
             ViewFaults faults = new ViewFaults(fleet);
-            faults.play(fault);
-            faults.check(fault.toString(), SETTLES, 3);
+            faults.inject(fault);
+            faults.check(fault.toString(), SETTLE_SECONDS, 3);
         }
     }
 
-    /** Runs it for so many seeds, some at a time; tells all that failed. */
-    private static void each(int many, LongConsumer history) {
+    /** Runs a history for each of {@code count} seeds, some concurrently, and reports all failures. */
+    private static void forEachSeed(int count, LongConsumer history) {
         ConcurrentLinkedQueue<String> failed = new ConcurrentLinkedQueue<>();
-        ExecutorService pool = Executors.newFixedThreadPool(AT_A_TIME);
+        ExecutorService pool = Executors.newFixedThreadPool(CONCURRENT_HISTORIES);
         try {
-            List<Future<?>> all = LongStream.range(FIRST_SEED, FIRST_SEED + many)
+            List<Future<?>> all = LongStream.range(FIRST_SEED, FIRST_SEED + count)
                     .<Future<?>>mapToObj(seed -> pool.submit(() -> {
                         try {
                             history.accept(seed);
@@ -128,6 +136,6 @@
         } finally {
             pool.shutdownNow();
         }
-        assertEquals(Set.of(), Set.copyOf(failed), () -> failed.size() + " of " + many);
+        assertEquals(Set.of(), Set.copyOf(failed), () -> failed.size() + " of " + count);
     }
 }
--- a/router/src/test/java/stagepier/fleet/ViewScheduleTest.java
+++ b/router/src/test/java/stagepier/fleet/ViewScheduleTest.java
@@ -14,38 +14,41 @@
 import stagepier.fleet.FleetView.State;
 import stagepier.fleet.ViewFaults.Fault;
 
-/** The hard cases of the view, each by name. */
+/** Difficult cases of the view, one scripted schedule each. */
 @Timeout(60)
 class ViewScheduleTest {
-    /** Each fault by itself at fourteen: settled within 3 s, and then the same for a while. */
+    /** After each single fault in a fleet of 14, the views settle within 3 s and stay settled for 5 s. */
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void settles(Fault fault) {
+    void settlesAfterEachFault(Fault fault) {
         for (int seed = 1; seed <= 2; seed++) {
             try (ViewFleet fleet = ViewFleet.settled(14, seed)) {
                 ViewFaults faults = new ViewFaults(fleet);
-                faults.play(fault);
+                faults.inject(fault);
                 faults.check(fault + " " + seed, 3, 5);
             }
         }
     }
 
-    /** A bridge, which alone hears both sides, keeps all in, for a minute; while the ways by it are found one may be called out for moments. */
+    /**
+     * One member that alone can call both sides keeps all members alive for a minute. Members may be declared gone
+     * briefly until the routes through it are found.
+     */
     @Test
-    void aBridgeKeepsBothSidesIn() {
+    void aBridgeKeepsBothSidesAlive() {
         try (ViewFleet fleet = ViewFleet.settled(14, 3)) {
             ViewFaults faults = new ViewFaults(fleet);
-            faults.play(Fault.BRIDGE);
+            faults.inject(Fault.BRIDGE);
             fleet.run(3);
-            fleet.wronged.clear();
+            fleet.falselyGone.clear();
             faults.check("bridge", 0, 60);
-            assertEquals(List.of(), fleet.wronged);
+            assertEquals(List.of(), fleet.falselyGone);
         }
     }
 
-    /** A router whose words do not get out is out, although it hears all others: it says so itself. */
+    /** A router that receives all messages but whose own are all lost is gone, and reports no majority itself. */
     @Test
-    void whoIsNotHeardIsOutAndKnowsIt() {
+    void aRouterWhoseMessagesAreLostIsGoneAndReportsNoMajority() {
         try (ViewFleet fleet = ViewFleet.settled(14, 4)) {
             ViewFaults faults = new ViewFaults(fleet);
             String mute = fleet.names.get(5);
@@ -58,28 +61,29 @@
         }
     }
 
-    /** What it hears after 4 s of standing still is 4 s old: it may not hold that against the others. */
+    /** After a pause of 4 s the data of a router are 4 s old, and it must not count that as silence of the others. */
     @Test
-    void whoStoodStillCallsNobodyGone() {
+    void aRouterThatWasPausedDeclaresNoOtherGone() {
         try (ViewFleet fleet = ViewFleet.settled(14, 5)) {
-            String still = fleet.names.get(3);
-            fleet.process(still).node.standStill(Duration.ofSeconds(4));
+            String paused = fleet.names.get(3);
+            fleet.process(paused).node.standStill(Duration.ofSeconds(4));
             fleet.run(20);
             assertEquals(
                     List.of(),
-                    fleet.wronged.stream()
-                            .filter(w -> w.contains(" " + still + " calls"))
+                    fleet.falselyGone.stream()
+                            .filter(w -> w.contains(" " + paused + " calls"))
                             .toList());
             assertTrue(
-                    fleet.wronged.stream().anyMatch(w -> w.endsWith(still + " gone")), "the others have to see it go");
+                    fleet.falselyGone.stream().anyMatch(w -> w.endsWith(paused + " gone")),
+                    "the others must declare it gone");
             assertEquals(
-                    State.ALIVE, fleet.view("r000").member(still).orElseThrow().state());
+                    State.ALIVE, fleet.view("r000").member(paused).orElseThrow().state());
         }
     }
 
-    /** The clock of the machine was set back between the old process and the new one. */
+    /** The wall clock of the machine was set back between the end of the old process and the start of the new one. */
     @Test
-    void whoComesBackWithoutMemoryAndWithAnEarlierClockIsTakenUpAnew() {
+    void aRestartWithAnEarlierClockGetsAHigherIncarnation() {
         try (ViewFleet fleet = ViewFleet.settled(14, 6)) {
             String name = fleet.names.get(9);
             long before = fleet.view("r000").member(name).orElseThrow().incarnation();
@@ -91,14 +95,14 @@
         }
     }
 
-    /** It left while one was cut off; that one tells of it as alive, then as gone. */
+    /** A member left while another was cut off, which later reports the former as alive and then as gone. */
     @Test
-    void whoLeftStaysLeftWhateverAStaleOneTells() {
+    void aMemberThatLeftStaysLeftDespiteStaleUpdates() {
         try (ViewFleet fleet = ViewFleet.settled(14, 7)) {
             ViewFaults faults = new ViewFaults(fleet);
             List<String> stale = fleet.names.subList(0, 1);
             List<String> leaver = fleet.names.subList(1, 2);
-            faults.part(stale, fleet.names, true);
+            faults.partition(stale, fleet.names, true);
             faults.leave(leaver.get(0));
             fleet.run(0.7);
             faults.kill(leaver);
--- a/router/src/test/java/stagepier/fleet/VirtualWorld.java
+++ b/router/src/test/java/stagepier/fleet/VirtualWorld.java
@@ -19,13 +19,14 @@
 import stagepier.tasks.Tasks;
 
 /**
- * Runs tasks one at a time in virtual time, in an order drawn from a seed: same seed, same history. Time stands still while a task
- * runs. Each {@link Node} is a process with a wall clock of its own, which can be killed, stopped in its tracks and started again.
+ * Runs tasks one at a time in virtual time, in an order derived from a seed, so that the same seed gives the same
+ * history. Time does not advance while a task runs. Each {@link Node} is a process with its own wall clock, which can
+ * be killed, paused and started again.
  */
 public final class VirtualWorld implements AutoCloseable {
     private static final Instant START = Instant.parse("2026-12-02T18:00:00Z");
 
-    private record Event(long at, int tie, long number, Node node, Runnable what) implements Comparable<Event> {
+    private record Event(long at, int tie, long number, Node node, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             int byTime = Long.compare(at, o.at);
@@ -36,62 +37,62 @@
 
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final Semaphore baton = new Semaphore(0);
+    private final Semaphore yielded = new Semaphore(0);
     private final ArrayDeque<Worker> idle = new ArrayDeque<>();
     private final List<Worker> workers = new ArrayList<>();
-    private final List<Throwable> faults = new ArrayList<>();
+    private final List<Throwable> failures = new ArrayList<>();
     private Worker current;
     private long now = 1_000_000_000L;
-    private long numbers;
-    /** Its threads end, all at once, each where it waits. */
+    private long nextNumber;
+    /** Set when the world is closed; all threads then end in their current wait. */
     private volatile boolean closed;
 
     public VirtualWorld(long seed) {
         random = new Random(seed);
     }
 
-    /** For what else a history draws: one source for all of it. */
+    /** Returns the random source of the whole history, for other random choices in it. */
     public Random random() {
         return random;
     }
 
-    /** Seconds since the beginning. */
+    /** Returns the seconds since the start. */
     public double seconds() {
         return (now - 1_000_000_000L) / 1e9;
     }
 
-    /** A process that starts now, with a wall clock that is off by so much. */
-    public Node node(String name, Duration wallOff) {
-        return new Node(name, wallOff);
+    /** Creates a process that starts now and whose wall clock has an offset. */
+    public Node node(String name, Duration wallOffset) {
+        return new Node(name, wallOffset);
     }
 
-    /** Does something at a time from now, on nobody's task. */
-    public void after(Duration time, Runnable what) {
-        add(now + time.toNanos(), null, what);
+    /** Runs an action after the given time, outside of any process. */
+    public void after(Duration time, Runnable action) {
+        add(now + time.toNanos(), null, action);
     }
 
-    /** The same, as something that reaches that process: late while it stands still, never once it is dead. */
-    public void reach(Duration time, Node node, Runnable what) {
-        add(now + time.toNanos(), node, what);
+    /** Runs an action as input of a process: delayed while the process is paused, dropped once it is dead. */
+    public void deliver(Duration time, Node node, Runnable action) {
+        add(now + time.toNanos(), node, action);
     }
 
-    private void add(long at, Node node, Runnable what) {
-        events.add(new Event(at, random.nextInt(), numbers++, node, what));
+    private void add(long at, Node node, Runnable action) {
+        events.add(new Event(at, random.nextInt(), nextNumber++, node, action));
     }
 
-    /** Lets time go on. */
+    /** Advances the time. */
     public void run(Duration time) {
         runUntil(() -> false, time);
     }
 
-    /** Lets time go on until something holds, looked at after each step; says whether it came to hold. */
-    public boolean runUntil(BooleanSupplier holds, Duration most) {
-        long until = now + most.toNanos();
-        while (!holds.getAsBoolean()) {
+    /** Advances the time until a condition, checked after each step, is true; returns whether it is. */
+    public boolean runUntil(BooleanSupplier condition, Duration timeout) {
+        long deadline = now + timeout.toNanos();
+        while (!condition.getAsBoolean()) {
             Event next = events.peek();
-            if (next == null || next.at() > until) {
-                now = until;
-                return holds.getAsBoolean();
+            if (next == null || next.at() > deadline) {
+                now = deadline;
+                return condition.getAsBoolean();
             }
             events.poll();
             now = next.at();
@@ -104,13 +105,13 @@
         if (e.node() != null && e.node().dead) {
             return;
         }
-        if (e.node() != null && e.node().standsUntil > now) {
-            add(e.node().standsUntil, e.node(), e.what());
+        if (e.node() != null && e.node().pausedUntil > now) {
+            add(e.node().pausedUntil, e.node(), e.action());
             return;
         }
-        e.what().run();
-        if (!faults.isEmpty()) {
-            throw new AssertionError("a task failed at " + seconds() + " s", faults.get(0));
+        e.action().run();
+        if (!failures.isEmpty()) {
+            throw new AssertionError("a task failed at " + seconds() + " s", failures.get(0));
         }
     }
 
@@ -120,9 +121,9 @@
         workers.forEach(w -> w.thread.interrupt());
     }
 
-    /** A thread that runs a task, and afterwards another. */
+    /** A thread that runs one task after another. */
     private final class Worker {
-        private final Semaphore go = new Semaphore(0);
+        private final Semaphore resumed = new Semaphore(0);
         private final Thread thread = new Thread(null, this::run, "virtual", 256 * 1024);
         private Node node;
         private Tasks.Body body;
@@ -132,48 +133,49 @@
             thread.start();
         }
 
-        /** On the thread of the test: lets the task run until it waits or ends. */
+        /** Called on the test thread: runs the task until it waits or ends. */
         void resume() {
-            Worker before = current;
+            Worker previous = current;
             current = this;
-            go.release();
+            resumed.release();
             try {
-                if (!baton.tryAcquire(20, TimeUnit.SECONDS)) {
+                if (!yielded.tryAcquire(20, TimeUnit.SECONDS)) {
                     AssertionError stuck =
-                            new AssertionError("a task waits by other means than Tasks, or for a lock that one holds");
+                            new AssertionError("a task did not yield within 20 s: it waits by other means than Tasks, "
+                                    + "or for a lock that a waiting task holds");
                     stuck.setStackTrace(thread.getStackTrace());
                     throw stuck;
                 }
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
-            current = before;
+            current = previous;
         }
 
-        /** On its own thread: hands over to the test until it is resumed. */
-        void hand() throws InterruptedException {
-            baton.release();
-            go.acquire();
+        /** Called on the worker's thread: returns control to the test thread until the worker is resumed. */
+        void yieldToTest() throws InterruptedException {
+            yielded.release();
+            resumed.acquire();
         }
 
         private void run() {
             try {
                 for (; ; ) {
-                    go.acquire();
+                    resumed.acquire();
                     try {
                         body.run();
                     } catch (InterruptedException e) {
-                        if (!node.ending && !closed) {
-                            faults.add(e);
+                        if (!node.stopping && !closed) {
+                            failures.add(e);
                         }
                     } catch (RuntimeException | Error e) {
-                        faults.add(e);
+                        failures.add(e);
                     }
                     if (closed) {
                         return;
                     }
                     idle.push(this);
-                    baton.release();
+                    yielded.release();
                 }
             } catch (InterruptedException e) {
                 // The world is closed.
@@ -185,15 +187,15 @@
     /** One wait of one task. */
     private static final class Wait {
         private final Worker worker;
-        private boolean over;
+        private boolean ended;
 
         Wait(Worker worker) {
             this.worker = worker;
         }
 
         void end() {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 worker.resume();
             }
         }
@@ -203,14 +205,14 @@
     public final class Node implements Tasks {
         private final String name;
         private final Set<Wait> waits = new LinkedHashSet<>();
-        private Duration wallOff;
-        private boolean ending;
+        private Duration wallOffset;
+        private boolean stopping;
         private boolean dead;
-        private long standsUntil;
+        private long pausedUntil;
 
-        private Node(String name, Duration wallOff) {
+        private Node(String name, Duration wallOffset) {
             this.name = name;
-            this.wallOff = wallOff;
+            this.wallOffset = wallOffset;
         }
 
         public String name() {
@@ -221,20 +223,20 @@
             return dead;
         }
 
-        /** It ends without a word, as by SIGKILL. From outside its tasks. */
+        /** Ends the process at once, as by SIGKILL. Called from outside its tasks. */
         public void kill() {
             stop();
             dead = true;
         }
 
-        /** It stands still, as by SIGSTOP, and goes on after that. */
+        /** Pauses the process for the given time, as by SIGSTOP and SIGCONT. */
         public void standStill(Duration time) {
-            standsUntil = Math.max(standsUntil, now + time.toNanos());
+            pausedUntil = Math.max(pausedUntil, now + time.toNanos());
         }
 
-        /** Sets its wall clock on or back. */
+        /** Moves the wall clock of the process forward or back. */
         public void jump(Duration by) {
-            wallOff = wallOff.plus(by);
+            wallOffset = wallOffset.plus(by);
         }
 
         @Override
@@ -257,7 +259,7 @@
 
                 @Override
                 public Instant instant() {
-                    return START.plusNanos(now).plus(wallOff);
+                    return START.plusNanos(now).plus(wallOffset);
                 }
             };
         }
@@ -271,32 +273,32 @@
             if (current == null) {
                 throw new IllegalStateException("only a task may wait");
             }
-            if (ending) {
+            if (stopping) {
                 throw new InterruptedException();
             }
             waits.add(wait);
             add(now + Math.max(0, time.toNanos()), this, wait::end);
-            wait.worker.hand();
+            wait.worker.yieldToTest();
             waits.remove(wait);
-            if (ending) {
+            if (stopping) {
                 throw new InterruptedException();
             }
         }
 
         @Override
         public void start(String task, Body body) {
-            if (ending) {
+            if (stopping) {
                 return;
             }
             add(now, this, () -> {
-                Worker worker = idle.isEmpty() ? fresh() : idle.pop();
+                Worker worker = idle.isEmpty() ? newWorker() : idle.pop();
                 worker.node = this;
                 worker.body = body;
                 worker.resume();
             });
         }
 
-        private Worker fresh() {
+        private Worker newWorker() {
             Worker worker = new Worker();
             workers.add(worker);
             return worker;
@@ -304,7 +306,7 @@
 
         @Override
         public void stop() {
-            ending = true;
+            stopping = true;
             for (Wait wait : List.copyOf(waits)) {
                 if (wait.worker != current) {
                     wait.end();
@@ -314,29 +316,29 @@
 
         @Override
         public <T> Mailbox<T> mailbox(int bound) {
-            return new VirtualBox<>(this, bound);
+            return new VirtualMailbox<>(this, bound);
         }
     }
 
-    private final class VirtualBox<T> implements Mailbox<T> {
+    private final class VirtualMailbox<T> implements Mailbox<T> {
         private final Node node;
         private final int bound;
-        private final ArrayDeque<T> things = new ArrayDeque<>();
+        private final ArrayDeque<T> items = new ArrayDeque<>();
         private Wait taker;
         private long dropped;
 
-        VirtualBox(Node node, int bound) {
+        VirtualMailbox(Node node, int bound) {
             this.node = node;
             this.bound = bound;
         }
 
         @Override
-        public boolean put(T thing) {
-            if (things.size() >= bound) {
+        public boolean put(T item) {
+            if (items.size() >= bound) {
                 dropped++;
                 return false;
             }
-            things.add(thing);
+            items.add(item);
             if (taker != null) {
                 add(now, node, taker::end);
             }
@@ -344,16 +346,16 @@
         }
 
         @Override
-        public T take(Duration most) throws InterruptedException {
-            if (things.isEmpty()) {
+        public T take(Duration timeout) throws InterruptedException {
+            if (items.isEmpty()) {
                 taker = new Wait(current);
                 try {
-                    node.await(taker, most);
+                    node.await(taker, timeout);
                 } finally {
                     taker = null;
                 }
             }
-            return things.poll();
+            return items.poll();
         }
 
         @Override
--- a/router/src/test/java/stagepier/fleet/VirtualWorldTest.java
+++ b/router/src/test/java/stagepier/fleet/VirtualWorldTest.java
@@ -16,7 +16,7 @@
         return Duration.ofMillis(n);
     }
 
-    /** Three that call each other at their own pace; what is heard, when, and what was lost. */
+    /** Runs three processes that call each other and returns each reply or timeout with its time. */
     private static List<String> history(long seed) {
         List<String> lines = new ArrayList<>();
         try (VirtualWorld world = new VirtualWorld(seed)) {
@@ -32,15 +32,15 @@
                 node.start("caller", () -> {
                     for (int i = 0; ; i++) {
                         for (String other : List.of("a", "b", "c")) {
-                            String said;
+                            String reply;
                             try {
-                                said = calls.call(other, Message.of("test.say", i), ms(50))
+                                reply = calls.call(other, Message.of("test.say", i), ms(50))
                                         .body()
                                         .toString();
                             } catch (FleetRpc.NoReplyException e) {
-                                said = "silent";
+                                reply = "silent";
                             }
-                            lines.add(world.seconds() + " " + name + " " + other + " " + said);
+                            lines.add(world.seconds() + " " + name + " " + other + " " + reply);
                         }
                         node.sleep(ms(100));
                     }
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameHistoryAndAnotherSeedAnother() {
+    void equalSeedsGiveEqualHistoriesAndDifferentSeedsDifferentOnes() {
         List<String> once = history(5);
         assertTrue(once.size() > 100, () -> "only " + once.size());
         assertEquals(once, history(5));
@@ -63,16 +63,15 @@
     }
 
     @Test
-    void aCutIsOneWayADeadOneIsSilentAndOneThatStandsStillGoesOn() {
+    void cutsAreOneWayDeadProcessesAreSilentAndPausedProcessesResume() {
         List<String> lines = history(7);
         assertTrue(lines.stream().noneMatch(l -> time(l) > 1.1 && l.contains(" a b \"b")), "a's calls do not reach b");
         assertTrue(
                 lines.stream().noneMatch(l -> time(l) > 1.1 && l.contains(" b a \"a")), "a's replies do not reach b");
         assertTrue(
                 lines.stream().noneMatch(l -> time(l) > 2 && l.contains(" c ") && !l.contains("silent")), "c is dead");
-        assertTrue(
-                lines.stream().noneMatch(l -> time(l) > 3.01 && time(l) < 7 && l.contains(" a c ")), "a stands still");
-        assertTrue(lines.stream().anyMatch(l -> time(l) > 7 && l.contains(" a c ")), "a goes on");
+        assertTrue(lines.stream().noneMatch(l -> time(l) > 3.01 && time(l) < 7 && l.contains(" a c ")), "a is paused");
+        assertTrue(lines.stream().anyMatch(l -> time(l) > 7 && l.contains(" a c ")), "a runs again");
     }
 
     private static double time(String line) {
