--- a/router/src/main/java/stagepier/shadow/Agreement.java
+++ b/router/src/main/java/stagepier/shadow/Agreement.java
@@ -3,18 +3,21 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What a majority of the configured routers agrees on, by topic: each topic is a sequence of texts, the same at all routers. */
+/**
+ * A log per topic that a majority of the configured routers agrees on: each topic is a sequence of texts that is the
+ * same on all routers.
+ */
 public interface Agreement {
-    /** @param version grows by one or more with each text of the topic */
+    /** @param version increases with each text of the topic, by one or more */
     record Accepted(long version, String text) {}
 
     /**
-     * Has a text accepted as the next one of its topic.
+     * Proposes a text as the next one of its topic.
      *
-     * @return whether it was, as far as is known when the time is up; where not, it may still be
+     * @return whether the text is known to be accepted when the timeout expires; if not, it may still be accepted later
      */
-    boolean propose(String topic, String text, Duration most) throws InterruptedException;
+    boolean propose(String topic, String text, Duration timeout) throws InterruptedException;
 
-    /** The last one that this router has learnt of. */
+    /** Returns the latest accepted text of the topic that this router has learned. */
     Optional<Accepted> latest(String topic);
 }
--- a/router/src/main/java/stagepier/shadow/CandidateException.java
+++ b/router/src/main/java/stagepier/shadow/CandidateException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A candidate map that makes no sense; one line for each thing that is wrong: file, line, key, what. */
+/** Reports an invalid candidate map, with one line for each error: file, line, key and reason. */
 public final class CandidateException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/stagepier/shadow/CandidateFile.java
+++ b/router/src/main/java/stagepier/shadow/CandidateFile.java
@@ -11,46 +11,55 @@
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 
-/** Reads {@code candidate.toml}, and the same form as it travels between routers. Strict: a key that is not known is refused. */
+/**
+ * Reads {@code candidate.toml} and the same format as it is sent between routers. Parsing is strict: an unknown key is
+ * an error.
+ */
 public final class CandidateFile {
-    /** Servers, and characters of the canonical text: a map has to fit into one message between routers. */
-    static final int SERVERS_MOST = 512;
+    /**
+     * Limits on the number of servers and the characters of the canonical text: a map has to fit into one message
+     * between routers.
+     */
+    static final int MAX_SERVERS = 512;
 
-    static final int TEXT_MOST = 32_000;
+    static final int MAX_TEXT_LENGTH = 32_000;
 
     private static final String NAME = "[A-Za-z0-9._:-]{1,64}";
-    private static final String NAME_SAID = "1 to 64 letters, digits, dots, colons, dashes";
+    private static final String NAME_DESCRIPTION = "1 to 64 letters, digits, dots, colons, dashes";
     private static final String PREFIX = "[!#-\\[\\]-~]{1,250}";
-    private static final String PREFIX_SAID =
+    private static final String PREFIX_DESCRIPTION =
             "beginnings of keys: 1 to 250 visible characters without quote and backslash";
 
-    /** What staff want done with the candidate. */
+    /** The action that operators request for the candidate. */
     public enum DesiredState {
         TRY,
         PROMOTE,
         BACK
     }
 
-    /** A file: the wish is no part of the map, so that it does not make another candidate of it. */
-    public record Read(CandidateMap map, DesiredState wish) {}
+    /**
+     * The content of a file. The requested action is not part of the map, so changing it does not create a different
+     * candidate.
+     */
+    public record Parsed(CandidateMap map, DesiredState desiredState) {}
 
     private CandidateFile() {}
 
-    public static Read read(Path file) throws IOException, CandidateException {
+    public static Parsed read(Path file) throws IOException, CandidateException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** @param file for messages */
-    public static Read parse(String file, String text) throws CandidateException {
+    /** @param file name of the file in error messages */
+    public static Parsed parse(String file, String text) throws CandidateException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             throw new CandidateException(
                     toml.errors().stream().map(e -> syntax(file, e)).toList());
         }
         List<String> errors = new ArrayList<>();
-        Read read = read(new CandidateTable(file, "", 1, toml, errors));
-        if (errors.isEmpty() && read.map().text().length() > TEXT_MOST) {
-            errors.add(file + ": line 1: key servers: the map has more than " + TEXT_MOST + " characters");
+        Parsed read = read(new CandidateTable(file, "", 1, toml, errors));
+        if (errors.isEmpty() && read.map().text().length() > MAX_TEXT_LENGTH) {
+            errors.add(file + ": line 1: key servers: the map has more than " + MAX_TEXT_LENGTH + " characters");
         }
         if (!errors.isEmpty()) {
             throw new CandidateException(errors);
@@ -63,28 +72,28 @@
                 + e.getMessage().lines().findFirst().orElse("no TOML");
     }
 
-    private static Read read(CandidateTable root) {
-        long version = root.whole("version", Double.NaN, 1, 1_000_000_000);
-        String salt = root.word("salt", "shadow", NAME, NAME_SAID);
-        int nodes = (int) root.whole("virtual_nodes", 100, 1, 1000);
-        int slice = (int) root.whole("slice", Double.NaN, 1, Slice.WHOLE);
-        List<String> classes = root.words("classes", true, NAME, "names of classes");
-        List<String> prefixes = root.words("prefixes", false, PREFIX, PREFIX_SAID);
-        CandidateTable budget = root.sub("budget");
+    private static Parsed read(CandidateTable root) {
+        long version = root.integer("version", Double.NaN, 1, 1_000_000_000);
+        String salt = root.string("salt", "shadow", NAME, NAME_DESCRIPTION);
+        int nodes = (int) root.integer("virtual_nodes", 100, 1, 1000);
+        int slice = (int) root.integer("slice", Double.NaN, 1, Slice.POSITIONS);
+        List<String> classes = root.strings("classes", true, NAME, "names of classes");
+        List<String> prefixes = root.strings("prefixes", false, PREFIX, PREFIX_DESCRIPTION);
+        CandidateTable budget = root.table("budget");
         double copies = budget.number("copies_per_second", Double.NaN, 0.1, 100_000);
         double fetches = budget.number("fetches_per_second", Double.NaN, 0.01, 10_000);
-        budget.end();
-        CandidateTable verdict = root.sub("verdict");
+        budget.rejectUnknownKeys();
+        CandidateTable verdict = root.table("verdict");
         double margin = verdict.number("margin", 0.02, 0.001, 0.5);
-        verdict.end();
-        CandidateTable promotion = root.sub("promotion");
-        List<Integer> steps = promotion.rising("steps", List.of(100, 1000, 3000, Slice.WHOLE), Slice.WHOLE);
+        verdict.rejectUnknownKeys();
+        CandidateTable promotion = root.table("promotion");
+        List<Integer> steps = promotion.ascending("steps", List.of(100, 1000, 3000, Slice.POSITIONS), Slice.POSITIONS);
         double stepSeconds = promotion.number("step_s", 60, 1, 86_400);
         double backSeconds = promotion.number("back_step_s", 10, 0, 86_400);
-        String wish = promotion.word("wish", "try", "try|promote|back", "try, promote or back");
-        promotion.end();
+        String desiredState = promotion.string("wish", "try", "try|promote|back", "try, promote or back");
+        promotion.rejectUnknownKeys();
         TreeMap<String, Double> servers = servers(root);
-        root.end();
+        root.rejectUnknownKeys();
         CandidateMap map = new CandidateMap(
                 version,
                 salt,
@@ -99,23 +108,27 @@
                 steps,
                 stepSeconds,
                 backSeconds);
-        return new Read(map, wish.isEmpty() ? DesiredState.TRY : DesiredState.valueOf(wish.toUpperCase(Locale.ROOT)));
+        return new Parsed(
+                map,
+                desiredState.isEmpty()
+                        ? DesiredState.TRY
+                        : DesiredState.valueOf(desiredState.toUpperCase(Locale.ROOT)));
     }
 
     private static TreeMap<String, Double> servers(CandidateTable root) {
         TreeMap<String, Double> servers = new TreeMap<>();
-        List<CandidateTable> tables = root.subs("servers");
+        List<CandidateTable> tables = root.tables("servers");
         if (tables.isEmpty()) {
             root.error("servers", "is missing or empty");
-        } else if (tables.size() > SERVERS_MOST) {
-            root.error("servers", "holds more than " + SERVERS_MOST);
+        } else if (tables.size() > MAX_SERVERS) {
+            root.error("servers", "holds more than " + MAX_SERVERS);
         }
         for (CandidateTable t : tables) {
-            String name = t.word("name", null, NAME, NAME_SAID);
+            String name = t.string("name", null, NAME, NAME_DESCRIPTION);
             if (servers.put(name, t.number("weight", 1, 0.01, 8)) != null) {
                 t.error("name", name + " is there twice");
             }
-            t.end();
+            t.rejectUnknownKeys();
         }
         return servers;
     }
--- a/router/src/main/java/stagepier/shadow/CandidateMap.java
+++ b/router/src/main/java/stagepier/shadow/CandidateMap.java
@@ -10,22 +10,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * A shard map that is tried beside the real one. Immutable. Two files that mean the same have the same canonical text, which is
- * what routers pass to each other.
+ * A shard map that is evaluated with copies of real requests before it replaces the map in use. Immutable. Two files
+ * with the same meaning have the same canonical text, which routers send to each other.
  *
- * @param version      raised by staff with each change; the highest one counts
- * @param salt         key of the hash by which the slice and the steps of a promotion are chosen
- * @param virtualNodes of a server of weight 1
- * @param servers      weight by name, as discovery has it
- * @param classes      of the requests that are tried
- * @param prefixes     of the keys that are tried; empty for all keys
- * @param slice        keys that are tried, in parts per ten thousand
- * @param copies       a second, over the whole fleet
- * @param fetches      a second that copies may cause at the origin, over the whole fleet
- * @param margin       change of the time of answers, as a part of it, below which two maps count as alike
- * @param steps        of a promotion: keys, in parts per ten thousand, that are served by this map after each
- * @param stepSeconds  seconds between two steps
- * @param backSeconds  seconds between two steps of a rollback; 0 for all at once
+ * @param version raised by operators with each change; the highest version takes effect
+ * @param salt key of the hash that selects the slice and the keys of each promotion step
+ * @param virtualNodes virtual nodes of a server of weight 1
+ * @param servers weight by the server's name in discovery
+ * @param classes classes of the requests that are copied
+ * @param prefixes prefixes of the keys that are copied; empty for all keys
+ * @param slice share of the keys that are copied, in parts per ten thousand
+ * @param copies copies per second, over the whole fleet
+ * @param fetches fetches from the origin per second that copies may cause, over the whole fleet
+ * @param margin relative change of the response time below which two maps count as equal
+ * @param steps share of the keys served by this map after each promotion step, in parts per ten thousand
+ * @param stepSeconds seconds between two promotion steps
+ * @param backSeconds seconds between two rollback steps; 0 to roll back in one step
  */
 public record CandidateMap(
         long version,
@@ -48,7 +48,7 @@
         steps = List.copyOf(steps);
     }
 
-    /** The canonical text, which {@link CandidateFile#parse} reads. */
+    /** Returns the canonical text, which {@link CandidateFile#parse} reads. */
     public String text() {
         StringBuilder text = new StringBuilder();
         text.append("version = ")
@@ -60,9 +60,9 @@
                 .append("\nslice = ")
                 .append(slice)
                 .append("\nclasses = ")
-                .append(words(classes))
+                .append(quotedList(classes))
                 .append("\nprefixes = ")
-                .append(words(prefixes))
+                .append(quotedList(prefixes))
                 .append("\n[budget]\ncopies_per_second = ")
                 .append(number(copies))
                 .append("\nfetches_per_second = ")
@@ -84,31 +84,34 @@
         return text.toString();
     }
 
-    /** Version and checksum: tells apart two files that were given the same version. */
+    /** Returns version and checksum. The checksum distinguishes two files with the same version. */
     public String id() {
         CRC32C sum = new CRC32C();
         sum.update(text().getBytes(StandardCharsets.UTF_8));
         return version + "-" + String.format("%08x", sum.getValue());
     }
 
-    /** Whether this one counts rather than that one; the same at all routers, also where staff gave one version to two maps. */
+    /**
+     * Returns whether this map takes precedence over another one. All routers come to the same result, also when
+     * operators have given the same version to two maps.
+     */
     public boolean replaces(CandidateMap other) {
         return other == null
                 || version > other.version
                 || version == other.version && text().compareTo(other.text()) > 0;
     }
 
-    /** Whether a request of this class for this key is one that the map is tried with. */
+    /** Returns whether requests of this class for this key are copied. */
     public boolean covers(String className, String key) {
         return classes.contains(className)
                 && (prefixes.isEmpty() || prefixes.stream().anyMatch(key::startsWith));
     }
 
-    private static String words(List<String> words) {
-        return words.stream().map(w -> '"' + w + '"').collect(Collectors.joining(", ", "[", "]"));
+    private static String quotedList(List<String> values) {
+        return values.stream().map(w -> '"' + w + '"').collect(Collectors.joining(", ", "[", "]"));
     }
 
-    /** With a point in any case, and without an exponent. */
+    /** Formats a number with a decimal point and without an exponent. */
     static String number(double n) {
         String text = new BigDecimal(Double.toString(n)).toPlainString();
         return text.contains(".") ? text : text + ".0";
--- a/router/src/main/java/stagepier/shadow/CandidateTable.java
+++ b/router/src/main/java/stagepier/shadow/CandidateTable.java
@@ -9,8 +9,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of {@code candidate.toml} that is read key by key. What is wrong is noted with file, line and key, and reading goes on,
- * so that all of it is told at once.
+ * A table of {@code candidate.toml} that is read key by key. Errors are collected with file, line and key, and reading
+ * continues, so that all errors are reported at once.
  */
 final class CandidateTable {
     private final String file;
@@ -18,7 +18,7 @@
     private final int line;
     private final TomlTable table;
     private final List<String> errors;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownKeys = new HashSet<>();
 
     CandidateTable(String file, String path, int line, TomlTable table, List<String> errors) {
         this.file = file;
@@ -29,7 +29,7 @@
     }
 
     private Object get(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return table == null ? null : table.get(List.of(key));
     }
 
@@ -38,12 +38,12 @@
         return at == null ? line : at.line();
     }
 
-    void error(String key, String what) {
-        errors.add(file + ": line " + lineOf(key) + ": key " + path + key + ": " + what);
+    void error(String key, String reason) {
+        errors.add(file + ": line " + lineOf(key) + ": key " + path + key + ": " + reason);
     }
 
-    /** A table below this one; an empty one where there is none. */
-    CandidateTable sub(String key) {
+    /** Returns the table under a key, or an empty one if the key is missing. */
+    CandidateTable table(String key) {
         Object value = get(key);
         if (value != null && !(value instanceof TomlTable)) {
             error(key, "must be a table");
@@ -51,13 +51,13 @@
         return new CandidateTable(file, path + key + ".", lineOf(key), value instanceof TomlTable t ? t : null, errors);
     }
 
-    /** The tables of an array of tables. */
-    List<CandidateTable> subs(String key) {
+    /** Returns the tables of an array of tables. */
+    List<CandidateTable> tables(String key) {
         Object value = get(key);
-        List<CandidateTable> all = new ArrayList<>();
+        List<CandidateTable> values = new ArrayList<>();
         if (value instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                all.add(new CandidateTable(
+                values.add(new CandidateTable(
                         file,
                         path + key + "[" + i + "].",
                         array.inputPositionOf(i).line(),
@@ -67,100 +67,100 @@
         } else if (value != null) {
             error(key, "must be an array of tables");
         }
-        return all;
+        return values;
     }
 
-    /** @param absent where the key is not there; NaN where it has to be */
-    double number(String key, double absent, double least, double most) {
+    /** @param defaultValue value if the key is missing; NaN if the key is required */
+    double number(String key, double defaultValue, double min, double max) {
         Object value = get(key);
-        if (value == null && !Double.isNaN(absent)) {
-            return absent;
+        if (value == null && !Double.isNaN(defaultValue)) {
+            return defaultValue;
         }
         if (!(value instanceof Number n)) {
             error(key, value == null ? "is missing" : "must be a number");
-            return least;
+            return min;
         }
-        // Written so that a NaN is refused as well.
-        if (!(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            error(key, "must lie between " + CandidateMap.number(least) + " and " + CandidateMap.number(most));
-            return least;
+        // The condition is negated so that NaN is rejected as well.
+        if (!(n.doubleValue() >= min && n.doubleValue() <= max)) {
+            error(key, "must lie between " + CandidateMap.number(min) + " and " + CandidateMap.number(max));
+            return min;
         }
         return n.doubleValue();
     }
 
-    long whole(String key, double absent, long least, long most) {
+    long integer(String key, double defaultValue, long min, long max) {
         if (get(key) instanceof Double) {
             error(key, "must be a whole number");
-            return least;
+            return min;
         }
-        return (long) number(key, absent, least, most);
+        return (long) number(key, defaultValue, min, max);
     }
 
-    /** A text of the stated form. */
-    String word(String key, String absent, String form, String said) {
+    /** Returns a string that matches the pattern. */
+    String string(String key, String defaultValue, String pattern, String description) {
         Object value = get(key);
-        if (value == null && absent != null) {
-            return absent;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
-        if (!(value instanceof String s) || !s.matches(form)) {
-            error(key, value == null ? "is missing" : "must be " + said);
+        if (!(value instanceof String s) || !s.matches(pattern)) {
+            error(key, value == null ? "is missing" : "must be " + description);
             return "";
         }
         return s;
     }
 
-    /** Texts of the stated form, none twice. */
-    List<String> words(String key, boolean needed, String form, String said) {
+    /** Returns distinct strings that match the pattern. */
+    List<String> strings(String key, boolean required, String pattern, String description) {
         Object value = get(key);
-        List<String> all = new ArrayList<>();
+        List<String> values = new ArrayList<>();
         if (value instanceof TomlArray array) {
             for (Object o : array.toList()) {
-                if (!(o instanceof String s) || !s.matches(form)) {
-                    error(key, "must hold " + said);
-                    return all;
+                if (!(o instanceof String s) || !s.matches(pattern)) {
+                    error(key, "must hold " + description);
+                    return values;
                 }
-                if (all.contains(s)) {
+                if (values.contains(s)) {
                     error(key, "holds " + s + " twice");
                 }
-                all.add(s);
+                values.add(s);
             }
         } else if (value != null) {
             error(key, "must be an array");
         }
-        if (needed && all.isEmpty()) {
+        if (required && values.isEmpty()) {
             error(key, value == null ? "is missing" : "must not be empty");
         }
-        return all;
+        return values;
     }
 
-    /** Whole numbers, each larger than the one before, the last one {@code most}. */
-    List<Integer> rising(String key, List<Integer> absent, int most) {
+    /** Returns strictly ascending whole numbers, the last of which is {@code max}. */
+    List<Integer> ascending(String key, List<Integer> defaultValue, int max) {
         Object value = get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        List<Integer> all = new ArrayList<>();
+        List<Integer> values = new ArrayList<>();
         if (value instanceof TomlArray array) {
             for (Object o : array.toList()) {
-                int last = all.isEmpty() ? 0 : all.get(all.size() - 1);
-                if (!(o instanceof Long n) || n <= last || n > most) {
-                    error(key, "must hold whole numbers above 0, each larger than the one before, up to " + most);
-                    return absent;
+                int last = values.isEmpty() ? 0 : values.get(values.size() - 1);
+                if (!(o instanceof Long n) || n <= last || n > max) {
+                    error(key, "must hold whole numbers above 0, each larger than the one before, up to " + max);
+                    return defaultValue;
                 }
-                all.add(n.intValue());
+                values.add(n.intValue());
             }
         }
-        if (all.isEmpty() || all.get(all.size() - 1) != most) {
-            error(key, "must be an array that ends with " + most);
-            return absent;
+        if (values.isEmpty() || values.get(values.size() - 1) != max) {
+            error(key, "must be an array that ends with " + max);
+            return defaultValue;
         }
-        return all;
+        return values;
     }
 
-    /** Guards against a key with a slip of the pen, which would be as if it were not there. */
-    void end() {
+    /** Rejects unknown keys: a misspelt optional key would otherwise be ignored silently. */
+    void rejectUnknownKeys() {
         if (table != null) {
-            table.keySet().stream().filter(k -> !known.contains(k)).forEach(k -> error(k, "is not known"));
+            table.keySet().stream().filter(k -> !knownKeys.contains(k)).forEach(k -> error(k, "is not known"));
         }
     }
 }
--- a/router/src/main/java/stagepier/shadow/Comparison.java
+++ b/router/src/main/java/stagepier/shadow/Comparison.java
@@ -2,34 +2,41 @@
 
 import stagepier.Api;
 
-/** Says what a copy's answer was beside the real one. Pure. */
+/** Compares the answer to a copy with the answer to the real request. Pure. */
 public final class Comparison {
-    /** Logarithm of the time ratio beyond which it counts no more: one answer that waited must not decide. */
-    public static final double RATIO_MOST = Math.log(8);
     /**
-     * Seconds that are added to both times. Guards against a verdict on what this router's loop does between an answer's arrival and
-     * its being read, some hundredths of a millisecond, which is not the same for both.
+     * Upper bound of a score, as the logarithm of the time ratio, so that a single answer that had to wait does not
+     * decide the verdict.
      */
-    static final double FLOOR = 0.001;
+    public static final double MAX_SCORE = Math.log(8);
+    /**
+     * Seconds added to both times. This router's event loop takes some hundredths of a millisecond between the arrival
+     * of an answer and its being read, which differs between real request and copy; without the offset, the verdict on
+     * fast servers would depend on that.
+     */
+    static final double TIME_OFFSET_SECONDS = 0.001;
 
     private Comparison() {}
 
     /**
-     * @param first  no copy of this key has been answered there of late
-     * @param before what the real owner gave before this answer, 0 for nothing that is known
+     * Compares the two results.
+     *
+     * @param firstCopy no copy of this key has recently been answered by the candidate's owner
+     * @param previousValue checksum of the value that the real owner returned before the current one; 0 if unknown
      */
-    public static ComparisonResult of(ExecutionResult real, ExecutionResult copy, boolean first, long before) {
+    public static ComparisonResult of(
+            ExecutionResult real, ExecutionResult copy, boolean firstCopy, long previousValue) {
         if (!copy.isServed()) {
             return real.isServed() ? failed(copy) : ComparisonResult.NOT_COMPARED;
         }
         if (!real.isServed()) {
-            return first ? ComparisonResult.MOVED : ComparisonResult.REAL_FAILED;
+            return firstCopy ? ComparisonResult.MOVED : ComparisonResult.REAL_FAILED;
         }
         if (real.hasValue() && copy.hasValue() && real.value() != copy.value()) {
-            // Whatever it is, it is asked for once more, unless it is known.
-            return copy.value() == before ? ComparisonResult.OLDER : ComparisonResult.IN_DOUBT;
+            // Any difference that a known earlier value does not explain is verified by a recheck.
+            return copy.value() == previousValue ? ComparisonResult.OLDER : ComparisonResult.IN_DOUBT;
         }
-        if (first && !copy.isHit()) {
+        if (firstCopy && !copy.isHit()) {
             return ComparisonResult.MOVED;
         }
         return real.hasValue() && copy.hasValue() ? ComparisonResult.SAME : ComparisonResult.NOT_COMPARED;
@@ -44,8 +51,10 @@
         };
     }
 
-    /** Of the second look, in which first the real owner, then the candidate's is asked once more. */
-    public static ComparisonResult secondLook(
+    /**
+     * Compares the results of a recheck, in which first the real owner and then the candidate's owner is queried again.
+     */
+    public static ComparisonResult recheck(
             ExecutionResult real, ExecutionResult copy, ExecutionResult realAgain, ExecutionResult copyAgain) {
         if (!realAgain.hasValue() || !copyAgain.hasValue()) {
             return ComparisonResult.IN_DOUBT;
@@ -57,28 +66,29 @@
         if (copyAgain.value() == real.value()) {
             return ComparisonResult.OLDER;
         }
-        // Both as before, or the candidate's gives what nobody else does.
+        // Either both repeated their values, or the candidate's owner returns a value that no other answer has.
         return realAgain.value() == real.value() ? ComparisonResult.WRONG : ComparisonResult.IN_DOUBT;
     }
 
     /**
-     * How the copy fared against the real answer: the logarithm of the ratio of their times, above 0 where the copy was slower,
-     * within {@link #RATIO_MOST}; a failure counts as the most. NaN where the two say nothing about the map.
+     * Returns the score of a copy: the logarithm of the ratio of the copy's time to the real request's time, positive
+     * if the copy was slower, limited to {@link #MAX_SCORE}. A failure counts as the limit. Returns NaN if the two
+     * results say nothing about the map.
      *
-     * @param steady the copy went out on a connection that had served before
+     * @param warm the copy was sent on a connection that had served a request before
      */
-    public static double score(ComparisonResult result, ExecutionResult real, ExecutionResult copy, boolean steady) {
+    public static double score(ComparisonResult result, ExecutionResult real, ExecutionResult copy, boolean warm) {
         return switch (result) {
-            case ERROR, TIMEOUT, TURNED_AWAY -> RATIO_MOST;
-            case REAL_FAILED -> real.outcome() == Api.Outcome.CANCELLED ? Double.NaN : -RATIO_MOST;
+            case ERROR, TIMEOUT, TURNED_AWAY -> MAX_SCORE;
+            case REAL_FAILED -> real.outcome() == Api.Outcome.CANCELLED ? Double.NaN : -MAX_SCORE;
             case SAME, OLDER, NEWER ->
-                real.alone() && copy.alone() && steady ? ratio(copy.elapsed(), real.elapsed()) : Double.NaN;
+                real.exclusive() && copy.exclusive() && warm ? ratio(copy.elapsed(), real.elapsed()) : Double.NaN;
             default -> Double.NaN;
         };
     }
 
     private static double ratio(double copy, double real) {
-        double ratio = Math.log((FLOOR + Math.max(0, copy)) / (FLOOR + Math.max(0, real)));
-        return Math.max(-RATIO_MOST, Math.min(RATIO_MOST, ratio));
+        double ratio = Math.log((TIME_OFFSET_SECONDS + Math.max(0, copy)) / (TIME_OFFSET_SECONDS + Math.max(0, real)));
+        return Math.max(-MAX_SCORE, Math.min(MAX_SCORE, ratio));
     }
 }
--- a/router/src/main/java/stagepier/shadow/ComparisonResult.java
+++ b/router/src/main/java/stagepier/shadow/ComparisonResult.java
@@ -2,32 +2,35 @@
 
 import java.util.Locale;
 
-/** What a copy's answer was beside the real one. */
+/** Result of comparing the answer to a copy with the answer to the real request. */
 public enum ComparisonResult {
-    /** The same value. */
+    /** The values are equal. */
     SAME,
-    /** The first copy of a key that the candidate moves: its new owner has to fetch it, which is no fault of the map. */
+    /**
+     * The first copy of a key that the candidate moves. Its new owner has to fetch the value, which is not a fault of
+     * the map.
+     */
     MOVED,
-    /** Another value, which the real owner gave before. */
+    /** The copy has an earlier value of the real owner. */
     OLDER,
-    /** Another value, which the real owner gave when it was asked again: a write came in between. */
+    /** The copy has the value that the real owner returned in the recheck: a write came in between. */
     NEWER,
-    /** Another value, and nothing that explains it yet: both are asked once more. */
+    /** The values differ without a known reason; both servers are queried again. */
     IN_DOUBT,
-    /** Another value, and both stand by theirs. The candidate is stopped. */
+    /** The values differ and both servers repeated theirs. The candidate is stopped. */
     WRONG,
-    /** The real one failed, the copy was served. */
+    /** The real request failed and the copy was served. */
     REAL_FAILED,
-    /** The copy failed, the real one was served. */
+    /** The copy failed and the real request was served. */
     ERROR,
-    /** The copy had no answer in its time, the real one was served. */
+    /** The copy timed out and the real request was served. */
     TIMEOUT,
-    /** The copy was turned away or could not be sent, the real one was served. */
+    /** The copy was rejected or could not be sent, and the real request was served. */
     TURNED_AWAY,
-    /** Neither was served, or one of the values was too large to be collected. */
+    /** Neither was served, or one of the values was too large to be buffered. */
     NOT_COMPARED;
 
-    /** The name of its counter. */
+    /** Returns the name of the counter of this result. */
     String counter() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/router/src/main/java/stagepier/shadow/CopyDecision.java
+++ b/router/src/main/java/stagepier/shadow/CopyDecision.java
@@ -2,28 +2,31 @@
 
 import java.util.Locale;
 
-/** Whether a copy is sent, or why not. */
+/** Decision whether a copy is sent, with the reason if it is not. */
 public enum CopyDecision {
     COPY,
-    /** The candidate leaves the key where it is, or the real one was sent there. */
+    /** The candidate does not move the key, or the real request was sent to the candidate's owner. */
     NOT_MOVED,
-    /** A class that may not simply be repeated, or a write. */
+    /** The class of the request is not safe to repeat, or the request is a write. */
     NOT_SAFE,
-    /** A second attempt, or one that has not gone out. */
+    /** The execution is not a first attempt, or it has not been sent. */
     NOT_SENT,
-    /** A quarter of the request's time is left, or less. */
+    /** At most a quarter of the request's time is left. */
     SHORT_OF_TIME,
-    /** The candidate's owner is absent, draining, cold, crowded, or its circuit is open. */
+    /** The candidate's owner is absent, draining, cold or crowded, or its circuit breaker is open. */
     NOT_FIT,
-    /** This router is pressed, refuses, drains, is in no majority, or the shadow was stopped. */
+    /**
+     * The router is overloaded, has recently refused a request, is draining or is not in a majority, or the candidate
+     * was stopped.
+     */
     NOT_NOW,
     OVER_BUDGET,
-    /** The copy may make its server fetch, and there is no allowance for that. */
+    /** The copy may cause a fetch from the origin, and the fetch budget is used up. */
     OVER_FETCHES,
-    /** No connection is free; one is brought up where there may be one more. */
+    /** No connection is free. A new one is opened if the limit allows it. */
     NO_LINK;
 
-    /** The name of its counter. */
+    /** Returns the name of the counter of this decision. */
     String counter() {
         return "ruled_" + name().toLowerCase(Locale.ROOT);
     }
--- a/router/src/main/java/stagepier/shadow/CopyRateLimiter.java
+++ b/router/src/main/java/stagepier/shadow/CopyRateLimiter.java
@@ -1,12 +1,14 @@
 package stagepier.shadow;
 
 /**
- * This router's share of a budget that is counted over the fleet: budget by configured routers, whoever is up, so that each side
- * of a partition stays within its own routers' share. A token bucket that holds one token and is empty at the start.
+ * This router's share of a budget for the whole fleet: the budget divided by the number of configured routers,
+ * regardless of how many are up, so that each side of a partition stays within the share of its own routers. A token
+ * bucket that holds one token and is empty at the start.
  *
- * <p>Two are never closer than one by the rate. The rate is the whole number in the share where that is 1 or more: in any second no
- * more than the share are spent. Below 1 it is the share: no more than one in any {@code 1 / share} seconds. In both cases a twentieth
- * less, so that it also holds for who sees it by another clock. Free of I/O and clock; times in seconds.
+ * <p>Two tokens are never closer than one divided by the rate. For a share of 1 or more the rate is derived from its
+ * integer part, so that no more tokens than the share are spent in any second. For a share below 1 it is derived from
+ * the share itself, so that at most one token is spent in any {@code 1 / share} seconds. The rate is 5% lower in both
+ * cases, so that the limit also holds when measured by another clock. Free of I/O and clock; times in seconds.
  */
 public final class CopyRateLimiter {
     private static final double MARGIN = 0.95;
@@ -33,7 +35,7 @@
         return tokens >= 1;
     }
 
-    /** Takes one, whether it is there or not: what was spent unforeseen is owed. */
+    /** Takes a token even if none is available: unforeseen spending leaves a negative balance. */
     public void spend(double now) {
         refill(now);
         tokens--;
--- a/router/src/main/java/stagepier/shadow/Counts.java
+++ b/router/src/main/java/stagepier/shadow/Counts.java
@@ -7,20 +7,23 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * What this process has counted of one candidate map since it began. Owned by the event loop; what others read is a snapshot,
- * which holds all so far, so that one that is lost is made good by the next.
+ * The counts that this process has collected for one candidate map since it started. Owned by the event loop; other
+ * threads read snapshots. A snapshot contains all counts so far, so that a later one makes up for a lost one.
  */
 public final class Counts {
-    /** In microseconds; 10 s and more fall together. */
-    private static final int LONGEST = 10_000_000;
-    /** Significant digits: values are within 1%. Each histogram takes some 10 KB. */
-    private static final int DIGITS = 2;
-    /** Scores are summed in these parts of 1, so that sums are exact in any order. */
+    /** Longest recorded time, in microseconds; longer times are recorded as 10 s. */
+    private static final int MAX_TIME_MICROS = 10_000_000;
+    /** Significant digits: values are accurate to 1%, and each histogram takes about 10 KB. */
+    private static final int SIGNIFICANT_DIGITS = 2;
+    /** Scores are summed as integers in units of one millionth, so that sums are exact in any order. */
     static final double SCORE_UNIT = 1e6;
 
-    /** Scores of copies at the candidate's owners; with {@code _sum} and {@code _squares} in parts of {@link #SCORE_UNIT}. */
+    /**
+     * Counter of the scores of copies sent to the candidate's owners. The counters with the suffixes {@code _sum} and
+     * {@code _squares} hold the sums of the scores and of their squares, in units of 1 / {@link #SCORE_UNIT}.
+     */
     static final String SCORES = "scores";
-    /** The same of copies at the servers of the real requests. */
+    /** The same for control copies, which are sent to the servers of the real requests. */
     static final String CONTROLS = "control_scores";
 
     private final Map<String, long[]> counters = new TreeMap<>();
@@ -32,28 +35,28 @@
         sequence++;
     }
 
-    /** @param score of {@link Comparison#score} */
-    void score(boolean control, double score) {
+    /** @param score see {@link Comparison#score} */
+    void addScore(boolean control, double score) {
         if (!Double.isNaN(score)) {
-            String of = control ? CONTROLS : SCORES;
-            add(of, 1);
-            add(of + "_sum", Math.round(score * SCORE_UNIT));
-            add(of + "_squares", Math.round(score * score * SCORE_UNIT));
+            String prefix = control ? CONTROLS : SCORES;
+            add(prefix, 1);
+            add(prefix + "_sum", Math.round(score * SCORE_UNIT));
+            add(prefix + "_squares", Math.round(score * score * SCORE_UNIT));
         }
     }
 
-    /** Sums of scores, as {@link #score} names them. */
-    static Verdict.Sums sums(String of, ToLongFunction<String> counter) {
+    /** Returns the sums of the scores, under the names that {@link #addScore} uses. */
+    static Verdict.Sums sums(String prefix, ToLongFunction<String> counter) {
         return new Verdict.Sums(
-                counter.applyAsLong(of),
-                counter.applyAsLong(of + "_sum") / SCORE_UNIT,
-                counter.applyAsLong(of + "_squares") / SCORE_UNIT);
+                counter.applyAsLong(prefix),
+                counter.applyAsLong(prefix + "_sum") / SCORE_UNIT,
+                counter.applyAsLong(prefix + "_squares") / SCORE_UNIT);
     }
 
-    /** @param which class and side, such as {@code read.copy} */
-    void time(String which, double seconds) {
-        times.computeIfAbsent(which, w -> new IntCountsHistogram(LONGEST, DIGITS))
-                .recordValue(Math.max(1, Math.min(LONGEST, Math.round(seconds * 1e6))));
+    /** @param series class and side, such as {@code read.copy} */
+    void recordTime(String series, double seconds) {
+        times.computeIfAbsent(series, w -> new IntCountsHistogram(MAX_TIME_MICROS, SIGNIFICANT_DIGITS))
+                .recordValue(Math.max(1, Math.min(MAX_TIME_MICROS, Math.round(seconds * 1e6))));
         sequence++;
     }
 
@@ -62,14 +65,14 @@
     }
 
     Snapshot snapshot(String map) {
-        SortedMap<String, Long> numbers = new TreeMap<>();
-        counters.forEach((name, n) -> numbers.put(name, n[0]));
-        SortedMap<String, IntCountsHistogram> copies = new TreeMap<>();
-        times.forEach((which, h) -> copies.put(which, h.copy()));
-        return new Snapshot(map, sequence, numbers, copies);
+        SortedMap<String, Long> values = new TreeMap<>();
+        counters.forEach((name, n) -> values.put(name, n[0]));
+        SortedMap<String, IntCountsHistogram> histograms = new TreeMap<>();
+        times.forEach((series, h) -> histograms.put(series, h.copy()));
+        return new Snapshot(map, sequence, values, histograms);
     }
 
-    /** All that was counted up to a moment. Nobody changes it any more. */
+    /** An immutable copy of all counts up to one moment. */
     public record Snapshot(
             String map, long sequence, SortedMap<String, Long> counters, SortedMap<String, IntCountsHistogram> times) {
         long counter(String name) {
--- a/router/src/main/java/stagepier/shadow/Eligibility.java
+++ b/router/src/main/java/stagepier/shadow/Eligibility.java
@@ -1,15 +1,15 @@
 package stagepier.shadow;
 
-/** Whether a cache server may be asked by a copy. */
+/** Whether copies may be sent to a cache server. */
 public enum Eligibility {
     FIT,
-    /** Not on the list. */
+    /** The server is not on the list. */
     ABSENT,
-    /** By word of discovery or of staff. */
+    /** The server is draining, according to discovery or to operators. */
     DRAINING,
-    /** Started a short time ago. */
+    /** The server started a short time ago. */
     COLD,
     CROWDED,
-    /** Its circuit is open, or it fails at this moment. */
+    /** The circuit breaker of the server is open, or the server is failing at present. */
     OPEN
 }
--- a/router/src/main/java/stagepier/shadow/ExecutionResult.java
+++ b/router/src/main/java/stagepier/shadow/ExecutionResult.java
@@ -4,14 +4,18 @@
 import stagepier.Api;
 
 /**
- * What became of one execution, of a real request or of its copy.
+ * The result of one execution, of a real request or of its copy.
  *
- * @param value   checksum and length of the value; 0 where there is none, or none that was collected
+ * @param value checksum and length of the value; 0 if there is no value or it was not buffered
  * @param elapsed seconds
- * @param alone   nothing else was awaited on its connection, and that was up: its time is the server's own
+ * @param exclusive nothing else was in flight on the connection, and the connection was already open, so that the
+ *     elapsed time is that of the server alone
  */
-public record ExecutionResult(Api.Outcome outcome, Api.Lookup lookup, long value, double elapsed, boolean alone) {
-    /** Of a value: two that differ have the same checksum once in 2^32. 0 for none. */
+public record ExecutionResult(Api.Outcome outcome, Api.Lookup lookup, long value, double elapsed, boolean exclusive) {
+    /**
+     * Returns the checksum of a value; 0 for none. Two different values have the same checksum with a probability of
+     * 2^-32.
+     */
     public static long checksum(byte[] body) {
         if (body == null) {
             return 0;
@@ -25,7 +29,7 @@
         return outcome == Api.Outcome.OK;
     }
 
-    /** Served with a value that was collected. */
+    /** Returns whether the execution was served with a value that was buffered. */
     boolean hasValue() {
         return isServed() && value != 0;
     }
--- a/router/src/main/java/stagepier/shadow/Lease.java
+++ b/router/src/main/java/stagepier/shadow/Lease.java
@@ -6,57 +6,64 @@
 import java.util.Set;
 
 /**
- * Until when this router may go on without hearing that the shadow was stopped. For each other router it keeps as of when it
- * knows what that one knew: when a call began to which it replied, and, passed on, what the one that replied knew of a third.
- * Whoever knows what a majority knew a moment ago would know of a stop that a majority had been told of. A process that has
- * started and not yet heard a majority may have forgotten a stop that it was told of: nobody relies on what it says. Pure; times
- * in nanoseconds of {@code Tasks}.
+ * Limits how long this router may send copies without confirmation that the candidate was not stopped. For each other
+ * router, it keeps the time up to which this router has that router's knowledge: the start of a call to which it
+ * replied or, indirectly, what a replying router knew of a third one. A router that has the recent knowledge of a
+ * majority would know of a stop that a majority had received. A process that has started and has not yet received
+ * replies from a majority may lack a stop that its predecessor had received; its replies do not extend the lease of
+ * others. Pure; times in nanoseconds of {@code Tasks}.
  */
 final class Lease {
     private final String self;
     private final int majority;
-    private final long length;
+    private final long leaseNanos;
     private final Map<String, Long> knownAsOf = new HashMap<>();
-    /** Who has replied since this process began. */
-    private final Set<String> replied = new HashSet<>();
+    /** The members that have replied since this process started. */
+    private final Set<String> repliedMembers = new HashSet<>();
 
-    Lease(String self, int majority, long length) {
+    Lease(String self, int majority, long leaseNanos) {
         this.self = self;
         this.majority = majority;
-        this.length = length;
+        this.leaseNanos = leaseNanos;
     }
 
-    /** This process has heard a majority since it began, and so whatever an earlier one of its name was told. */
+    /**
+     * Returns whether this process has received replies from a majority since it started, and therefore knows
+     * everything that an earlier process of the same name had received.
+     */
     boolean hasCaughtUp() {
-        return replied.size() >= majority - 1;
+        return repliedMembers.size() >= majority - 1;
     }
 
     /**
-     * What a member said in reply to a call.
+     * Records the reply of a member to a call.
      *
-     * @param caughtUp whether it had
-     * @param ages     how long ago, in milliseconds, it knew what others knew
+     * @param caughtUp whether the member had caught up, see {@link #hasCaughtUp}
+     * @param ages milliseconds since the member last had the knowledge of each other router
      */
-    void replied(String member, long callBegan, boolean caughtUp, Map<String, Long> ages) {
-        replied.add(member);
+    void recordReply(String member, long callStarted, boolean caughtUp, Map<String, Long> ages) {
+        repliedMembers.add(member);
         if (!caughtUp) {
             return;
         }
-        learn(member, callBegan);
+        updateKnownAsOf(member, callStarted);
         ages.forEach((other, age) -> {
             if (age != null && age >= 0 && age < 3_600_000) {
-                learn(other, callBegan - age * 1_000_000);
+                updateKnownAsOf(other, callStarted - age * 1_000_000);
             }
         });
     }
 
-    private void learn(String member, long asOf) {
+    private void updateKnownAsOf(String member, long asOf) {
         if (!member.equals(self)) {
             knownAsOf.merge(member, asOf, (a, b) -> a - b > 0 ? a : b);
         }
     }
 
-    /** For a reply: rounded up, so that nobody relies on more than there is. */
+    /**
+     * Returns the ages for a reply in milliseconds. They are rounded up so that the receiver does not rely on newer
+     * knowledge than there is.
+     */
     Map<String, Long> ages(long now) {
         Map<String, Long> ages = new HashMap<>();
         knownAsOf.forEach((member, asOf) -> ages.put(member, (now - asOf + 999_999) / 1_000_000));
@@ -64,15 +71,16 @@
         return ages;
     }
 
-    /** When it ends; in the past where it has ended or never began. */
-    long until(long now) {
+    /** Returns the time at which the lease expires; a time in the past if it has expired or has never been granted. */
+    long expiresAt(long now) {
         if (majority <= 1) {
-            return now + length;
+            return now + leaseNanos;
         }
         long[] ends =
                 knownAsOf.values().stream().mapToLong(Long::longValue).sorted().toArray();
-        // With this one itself a majority: the oldest of the freshest others decides.
+        // This router is part of the majority, so the oldest of the (majority - 1) most recent times of the others
+        // decides.
         int needed = majority - 1;
-        return ends.length < needed ? now - 1 : ends[ends.length - needed] + length;
+        return ends.length < needed ? now - 1 : ends[ends.length - needed] + leaseNanos;
     }
 }
--- a/router/src/main/java/stagepier/shadow/MergedCounts.java
+++ b/router/src/main/java/stagepier/shadow/MergedCounts.java
@@ -10,25 +10,28 @@
 import java.util.TreeMap;
 
 /**
- * The counts of all routers that are known, one entry for each process: a state-based, grow-only counter (Shapiro, Preguiça,
- * Baquero and Zawirski, <i>Conflict-free replicated data types</i>, 2011). Each entry has one writer and a sequence, and of two
- * the higher sequence stays, so that what is received twice, late, or from somebody else changes nothing. Not shared between tasks.
+ * The counts of all known routers, with one entry per process: a state-based, grow-only counter (Shapiro, Preguiça,
+ * Baquero and Zawirski, <i>Conflict-free replicated data types</i>, 2011). Each entry has one writer and a sequence
+ * number, and the entry with the higher sequence number is kept, so that duplicate, late or forwarded entries change
+ * nothing. Not shared between tasks.
  */
 final class MergedCounts {
-    /** Processes of one router that are remembered. Guards against memory that grows with every restart. */
-    static final int PROCESSES_MOST = 16;
+    /**
+     * Number of processes that are kept per router; limits the memory, which would otherwise grow with every restart.
+     */
+    static final int MAX_PROCESSES_PER_ROUTER = 16;
 
     private final SortedMap<String, TreeMap<Long, RouterCounts>> entries = new TreeMap<>();
-    private int turn;
+    private int rotation;
 
-    /** Takes counts of another router, or newer ones of this; returns whether it was new. */
-    boolean take(RouterCounts counts) {
+    /** Merges counts of another router or newer counts of this one; returns whether they were new. */
+    boolean merge(RouterCounts counts) {
         TreeMap<Long, RouterCounts> own = entries.computeIfAbsent(counts.router(), r -> new TreeMap<>());
-        RouterCounts had = own.get(counts.incarnation());
-        if (had != null && had.sequence() >= counts.sequence()) {
+        RouterCounts existing = own.get(counts.incarnation());
+        if (existing != null && existing.sequence() >= counts.sequence()) {
             return false;
         }
-        if (had == null && own.size() >= PROCESSES_MOST) {
+        if (existing == null && own.size() >= MAX_PROCESSES_PER_ROUTER) {
             if (counts.incarnation() < own.firstKey()) {
                 return false;
             }
@@ -48,7 +51,10 @@
         return all;
     }
 
-    /** Highest sequence of each process: what there is no need to be told again. */
+    /**
+     * Returns the highest known sequence number of each process, by router and incarnation. Peers need not send these
+     * again.
+     */
     Map<String, Map<Long, Long>> known() {
         Map<String, Map<Long, Long>> known = new TreeMap<>();
         entries.forEach((router, own) -> {
@@ -59,20 +65,23 @@
         return known;
     }
 
-    /** Entries that somebody lacks, as far as they fit. Each time from another one on: the first ones change all the time. */
-    List<RouterCounts> lackedBy(Map<String, Map<Long, Long>> known, int lengthMost) {
-        List<RouterCounts> lacked = new ArrayList<>();
+    /**
+     * Returns the entries that a peer is missing, as far as they fit into the length. Each call starts at the next
+     * entry: the first entries change all the time and would otherwise keep out the later ones.
+     */
+    List<RouterCounts> missingFrom(Map<String, Map<Long, Long>> known, int maxLength) {
+        List<RouterCounts> missing = new ArrayList<>();
         List<RouterCounts> all = new ArrayList<>(all());
-        Collections.rotate(all, -(all.isEmpty() ? 0 : turn++ % all.size()));
+        Collections.rotate(all, -(all.isEmpty() ? 0 : rotation++ % all.size()));
         int length = 0;
         for (RouterCounts e : all) {
-            Long has = known.getOrDefault(e.router(), Map.of()).get(e.incarnation());
-            if ((has == null || has < e.sequence()) && length + e.length() <= lengthMost) {
-                lacked.add(e);
+            Long knownSequence = known.getOrDefault(e.router(), Map.of()).get(e.incarnation());
+            if ((knownSequence == null || knownSequence < e.sequence()) && length + e.length() <= maxLength) {
+                missing.add(e);
                 length += e.length();
             }
         }
-        return lacked;
+        return missing;
     }
 
     long sum(String counter) {
@@ -85,7 +94,7 @@
         return new TreeMap<>(sums);
     }
 
-    /** Routers that have counted at least one comparison. */
+    /** Returns the number of routers whose counter is above 0. */
     long routersWith(String counter) {
         return entries.values().stream()
                 .filter(own -> own.values().stream().anyMatch(e -> e.counter(counter) > 0))
--- a/router/src/main/java/stagepier/shadow/Promotion.java
+++ b/router/src/main/java/stagepier/shadow/Promotion.java
@@ -10,44 +10,50 @@
 import stagepier.freeze.Change;
 import stagepier.tasks.Tasks;
 
-/** Has a candidate promoted or rolled back: asked for by staff, checked by verdict and calendar, agreed by a majority. */
+/**
+ * Promotes a candidate or rolls it back: requested by operators, checked against the verdict and the freeze calendar,
+ * and agreed by a majority.
+ */
 final class Promotion {
     static final String TOPIC = "promotion";
     private static final Change PROMOTE = new Change(Change.Kind.PROMOTE, "", "");
-    private static final Duration AGREED_WITHIN = Duration.ofSeconds(5);
+    private static final Duration AGREEMENT_TIMEOUT = Duration.ofSeconds(5);
 
     private final Tasks tasks;
     private final Agreement agreement;
     private final Supplier<Calendar> calendar;
     private final Supplier<FleetView> view;
-    private final Duration lead;
+    private final Duration leadTime;
     private final History history;
     private final StepGate gate = new StepGate();
-    private Agreement.Accepted read;
+    private Agreement.Accepted lastAccepted;
     private PromotionPlan plan;
     private CandidateMap map;
     private int reportedShare;
 
-    /** @param lead from the agreement to the first step: the time in which all hear of it, with what clocks may differ by */
+    /**
+     * @param leadTime time from the agreement to the first step, in which all routers learn of the plan; includes the
+     *     clock skew
+     */
     Promotion(
             Tasks tasks,
             Agreement agreement,
             Supplier<Calendar> calendar,
             Supplier<FleetView> view,
-            Duration lead,
+            Duration leadTime,
             History history) {
         this.tasks = tasks;
         this.agreement = agreement;
         this.calendar = calendar;
         this.view = view;
-        this.lead = lead;
+        this.leadTime = leadTime;
         this.history = history;
     }
 
     /**
-     * Proposes that a candidate take the place of the real map.
+     * Proposes that a candidate replace the map in use.
      *
-     * @return what came of it, for staff
+     * @return the result, for operators
      */
     String promote(CandidateMap candidate, Verdict verdict, String stopped) throws InterruptedException {
         if (!stopped.isEmpty()) {
@@ -59,42 +65,46 @@
         if (!view.get().majority()) {
             return "not promoted: this router is in no majority";
         }
-        PromotionPlan now = plan();
-        if (now != null && (!now.isBack() || share() > 0)) {
-            // Guards against a file that is read again for another reason, and against keys that fall back to the real
-            // map at once.
+        PromotionPlan current = plan();
+        if (current != null && (!current.isRollback() || updateShare() > 0)) {
+            // A reload of the file for another reason must not restart a promotion, and keys must not move back to the
+            // map in use all at once.
             return "not promoted: candidate " + map().id() + " is promoted or being rolled back; roll it back first";
         }
-        PromotionPlan wanted = PromotionPlan.of(candidate, tasks.wall().millis() + lead.toMillis());
-        String frozen = frozen(wanted);
-        if (frozen != null) {
-            return "not promoted: " + frozen;
+        PromotionPlan proposed = PromotionPlan.of(candidate, tasks.wall().millis() + leadTime.toMillis());
+        String freezeReason = freezeReason(proposed);
+        if (freezeReason != null) {
+            return "not promoted: " + freezeReason;
         }
-        return agreement.propose(TOPIC, wanted.text(), AGREED_WITHIN)
-                ? "promotion agreed, first step in " + lead.toSeconds() + " s"
+        return agreement.propose(TOPIC, proposed.text(), AGREEMENT_TIMEOUT)
+                ? "promotion agreed, first step in " + leadTime.toSeconds() + " s"
                 : "promotion not agreed in time; it may yet be";
     }
 
-    /** Proposes to go back. Passes in any state of the calendar. */
-    String back() throws InterruptedException {
-        PromotionPlan now = plan();
-        if (now == null || now.isBack()) {
+    /** Proposes a rollback, which is permitted in any state of the calendar. */
+    String rollBack() throws InterruptedException {
+        PromotionPlan current = plan();
+        if (current == null || current.isRollback()) {
             return "nothing to roll back";
         }
-        String text = now.back(map(), tasks.wall().millis() + lead.toMillis()).text();
-        return agreement.propose(TOPIC, text, AGREED_WITHIN)
+        String text = current.rollback(map(), tasks.wall().millis() + leadTime.toMillis())
+                .text();
+        return agreement.propose(TOPIC, text, AGREEMENT_TIMEOUT)
                 ? "rollback agreed"
                 : "rollback not agreed in time; it may yet be";
     }
 
-    /** Why the calendar does not let the plan run, asked for now and for the moment of each step; null where it does. */
-    private String frozen(PromotionPlan wanted) {
+    /**
+     * Returns the reason why the calendar does not permit the plan, now or at the time of one of its steps; null if it
+     * does.
+     */
+    private String freezeReason(PromotionPlan proposed) {
         long nano = tasks.nanoTime();
         Calendar.Answer now = calendar.get().ask(PROMOTE, tasks.wall().instant(), nano);
         if (now.permit() != Calendar.Permit.OPEN) {
             return now.permit() + ": " + now.reason();
         }
-        for (long moment : wanted.moments()) {
+        for (long moment : proposed.stepTimes()) {
             Calendar.Answer then = calendar.get().ask(PROMOTE, Instant.ofEpochMilli(moment), nano);
             if (then.permit() != Calendar.Permit.OPEN) {
                 return "a step at " + Instant.ofEpochMilli(moment) + " would be " + then.permit() + ": "
@@ -104,17 +114,18 @@
         return null;
     }
 
-    /** The plan that this router has learnt of; null for none. */
+    /** Returns the plan that this router has learned; null for none. */
     synchronized PromotionPlan plan() {
         Optional<Agreement.Accepted> latest = agreement.latest(TOPIC);
-        if (latest.isPresent() && !latest.get().equals(read)) {
-            read = latest.get();
+        if (latest.isPresent() && !latest.get().equals(lastAccepted)) {
+            lastAccepted = latest.get();
             try {
-                PromotionPlan agreed = PromotionPlan.parse(read.text());
+                PromotionPlan agreed = PromotionPlan.parse(lastAccepted.text());
                 map = CandidateFile.parse("an agreed promotion", agreed.map()).map();
                 plan = agreed;
             } catch (IllegalArgumentException | CandidateException e) {
-                // What a majority agreed on was checked before; an unknown form leaves what was in force.
+                // The text was checked before a majority agreed on it. If its format is unknown to this build, the
+                // previous plan stays in force.
                 history.write("promotion.unread", "why", String.valueOf(e.getMessage()));
             }
         }
@@ -125,9 +136,12 @@
         return plan() == null ? null : map;
     }
 
-    /** Looks at time and calendar; returns the share of keys that the candidate serves here, in parts per ten thousand. */
-    synchronized int share() {
-        int share = gate.look(plan(), calendar.get(), tasks.wall().instant(), tasks.nanoTime());
+    /**
+     * Evaluates time and calendar; returns the share of the keys that the candidate serves on this router, in parts per
+     * ten thousand.
+     */
+    synchronized int updateShare() {
+        int share = gate.update(plan(), calendar.get(), tasks.wall().instant(), tasks.nanoTime());
         if (share != reportedShare) {
             reportedShare = share;
             history.write(
@@ -137,14 +151,16 @@
                     "share",
                     share,
                     "rollback",
-                    String.valueOf(plan.isBack()),
+                    String.valueOf(plan.isRollback()),
                     "calendar",
                     calendar.get().version());
         }
         return share;
     }
 
-    /** For staff; with the routers that hold another candidate than the one promoted. */
+    /**
+     * Returns the status line for operators, including the routers that hold a candidate other than the promoted one.
+     */
     synchronized String describe() {
         if (plan() == null) {
             return "promotion: none";
@@ -154,7 +170,7 @@
                 .map(FleetView.Member::name)
                 .reduce((a, b) -> a + " " + b)
                 .orElse("none");
-        return "promotion: candidate " + map.id() + (plan.isBack() ? " rolled back" : "") + ", serves " + share()
-                + " of 10000, due " + plan.share(tasks.wall().millis()) + ", stragglers " + stragglers;
+        return "promotion: candidate " + map.id() + (plan.isRollback() ? " rolled back" : "") + ", serves "
+                + updateShare() + " of 10000, due " + plan.share(tasks.wall().millis()) + ", stragglers " + stragglers;
     }
 }
--- a/router/src/main/java/stagepier/shadow/PromotionPlan.java
+++ b/router/src/main/java/stagepier/shadow/PromotionPlan.java
@@ -7,37 +7,41 @@
 import java.util.List;
 
 /**
- * By when which part of the keys is served by the candidate: agreed by a majority, and from there on a function of time alone, so
- * that routers whose clocks are alike serve alike. A key goes over when the share passes its place in {@link Slice}, and never
- * back but by a rollback: two routers whose clocks differ by no more than the stated skew differ only in the keys of one step,
- * and only within that skew of its moment. Pure; times in milliseconds of the wall clock.
+ * A schedule of the share of the keys that the candidate serves. A majority agrees on it; after that, the share depends
+ * on time alone, so that routers with synchronized clocks route alike. A key moves to the candidate when the share
+ * passes its position in {@link Slice}, and moves back only in a rollback. Two routers whose clocks differ by no more
+ * than the configured skew differ only in the keys of one step, and only within that skew of the step's time. Pure;
+ * times in milliseconds of the wall clock.
  *
- * @param map    canonical text of the candidate
- * @param start  share before the first step, in parts per ten thousand
- * @param shares after each step
- * @param from   moment of the first step
- * @param apart  between two steps
+ * @param map canonical text of the candidate
+ * @param start share before the first step, in parts per ten thousand
+ * @param shares share after each step
+ * @param from time of the first step
+ * @param apart time between two steps
  */
 public record PromotionPlan(String map, int start, List<Integer> shares, long from, long apart) {
     private static final Gson GSON = new Gson();
 
-    /** The steps that a candidate names. */
+    /** Returns the plan with the steps that the candidate configures. */
     public static PromotionPlan of(CandidateMap map, long from) {
         return new PromotionPlan(map.text(), 0, map.steps(), from, Math.round(map.stepSeconds() * 1e3));
     }
 
-    /** From the share that is reached at a moment back to none, by the same steps at the pace of a rollback. */
-    public PromotionPlan back(CandidateMap candidate, long moment) {
+    /**
+     * Returns the rollback plan: from the share reached at a moment down to 0, through the same steps at the rollback
+     * interval.
+     */
+    public PromotionPlan rollback(CandidateMap candidate, long moment) {
         int reached = share(moment);
-        List<Integer> down = new ArrayList<>(candidate.steps());
-        down.removeIf(share -> share >= reached);
-        Collections.reverse(down);
-        down.add(0);
-        long pace = Math.round(candidate.backSeconds() * 1e3);
-        return new PromotionPlan(map, reached, pace == 0 ? List.of(0) : down, moment, pace);
+        List<Integer> remaining = new ArrayList<>(candidate.steps());
+        remaining.removeIf(share -> share >= reached);
+        Collections.reverse(remaining);
+        remaining.add(0);
+        long interval = Math.round(candidate.backSeconds() * 1e3);
+        return new PromotionPlan(map, reached, interval == 0 ? List.of(0) : remaining, moment, interval);
     }
 
-    /** Parts per ten thousand of the keys that the candidate serves at a moment. */
+    /** Returns the share of the keys that the candidate serves at a moment, in parts per ten thousand. */
     public int share(long moment) {
         if (moment < from) {
             return start;
@@ -46,24 +50,24 @@
         return shares.get((int) Math.min(shares.size() - 1, step));
     }
 
-    public boolean isBack() {
+    public boolean isRollback() {
         return shares.get(shares.size() - 1) == 0;
     }
 
-    /** Moments at which something changes. */
-    public List<Long> moments() {
-        List<Long> moments = new ArrayList<>();
+    /** Returns the times of the steps. */
+    public List<Long> stepTimes() {
+        List<Long> stepTimes = new ArrayList<>();
         for (int i = 0; i < shares.size(); i++) {
-            moments.add(from + i * apart);
+            stepTimes.add(from + i * apart);
         }
-        return moments;
+        return stepTimes;
     }
 
     public String text() {
         return GSON.toJson(this);
     }
 
-    /** @throws IllegalArgumentException where it makes no sense */
+    /** @throws IllegalArgumentException if the text is not a valid plan */
     public static PromotionPlan parse(String text) {
         PromotionPlan plan;
         try {
@@ -76,7 +80,7 @@
                 || plan.shares == null
                 || plan.shares.isEmpty()
                 || plan.apart < 0
-                || plan.shares.stream().anyMatch(s -> s == null || s < 0 || s > Slice.WHOLE)) {
+                || plan.shares.stream().anyMatch(s -> s == null || s < 0 || s > Slice.POSITIONS)) {
             throw new IllegalArgumentException("not a promotion");
         }
         return plan;
--- a/router/src/main/java/stagepier/shadow/RingDifference.java
+++ b/router/src/main/java/stagepier/shadow/RingDifference.java
@@ -11,14 +11,15 @@
 import stagepier.Api;
 
 /**
- * What a candidate would change, foretold from the two rings alone: keys that move, and parts of all keys by server, zone and
- * kind. By a sample of keys, the same at all routers: parts are within some 0.3% of the whole. Pure.
+ * The changes that a candidate would cause, predicted from the two rings alone: keys that move, and shares of the keys
+ * by server, zone and kind. Estimated from a sample of keys that is the same on all routers; shares are accurate to
+ * about 0.3% of all keys. Pure.
  *
- * @param moved    part of the keys that change their owner
- * @param present  part of the keys by server
- * @param foretold the same by the candidate
+ * @param moved fraction of the keys whose owner changes
+ * @param present fraction of the keys by server, with the map in use
+ * @param predicted the same with the candidate
  */
-public record RingDifference(double moved, Map<Long, Double> present, Map<Long, Double> foretold) {
+public record RingDifference(double moved, Map<Long, Double> present, Map<Long, Double> predicted) {
     private static final int SAMPLE = 20_000;
 
     /** Compares two rings. */
@@ -38,40 +39,45 @@
         return new RingDifference(moved / (double) SAMPLE, before, after);
     }
 
-    /** The largest part of a server over the mean part: 1 where all have the same. */
-    static double largest(Map<Long, Double> parts) {
-        return parts.values().stream().mapToDouble(Double::doubleValue).max().orElse(0) * parts.size();
+    /** Returns the largest fraction of a server relative to the mean: 1 if all are equal. */
+    static double largestToMean(Map<Long, Double> fractions) {
+        return fractions.values().stream()
+                        .mapToDouble(Double::doubleValue)
+                        .max()
+                        .orElse(0)
+                * fractions.size();
     }
 
-    /** Parts by what servers have in common. */
-    static Map<String, Double> by(
-            Map<Long, Double> parts, List<Api.Member> members, Function<Api.Member, String> what) {
+    /** Sums the fractions of the servers that share an attribute. */
+    static Map<String, Double> sumBy(
+            Map<Long, Double> fractions, List<Api.Member> members, Function<Api.Member, String> attribute) {
         Map<Long, String> names = new HashMap<>();
-        members.forEach(m -> names.put(m.id(), what.apply(m)));
+        members.forEach(m -> names.put(m.id(), attribute.apply(m)));
         Map<String, Double> sums = new TreeMap<>();
-        parts.forEach((server, part) -> sums.merge(names.getOrDefault(server, "unlisted"), part, Double::sum));
+        fractions.forEach(
+                (server, fraction) -> sums.merge(names.getOrDefault(server, "unlisted"), fraction, Double::sum));
         return sums;
     }
 
-    /** For staff. */
+    /** Returns the status text for operators. */
     public String describe(List<Api.Member> members, List<String> zones, List<String> kinds) {
         return String.format(
                 Locale.ROOT,
                 "keys moved %.1f%%, largest server %.2f -> %.2f of the mean, zones %s, kinds %s",
                 100 * moved,
-                largest(present),
-                largest(foretold),
-                change(members, m -> name(zones, m.zone())),
-                change(members, m -> name(kinds, m.kind())));
+                largestToMean(present),
+                largestToMean(predicted),
+                describeChanges(members, m -> name(zones, m.zone())),
+                describeChanges(members, m -> name(kinds, m.kind())));
     }
 
     private static String name(List<String> names, int index) {
         return index >= 0 && index < names.size() ? names.get(index) : "other";
     }
 
-    private String change(List<Api.Member> members, Function<Api.Member, String> what) {
-        Map<String, Double> before = by(present, members, what);
-        Map<String, Double> after = by(foretold, members, what);
+    private String describeChanges(List<Api.Member> members, Function<Api.Member, String> attribute) {
+        Map<String, Double> before = sumBy(present, members, attribute);
+        Map<String, Double> after = sumBy(predicted, members, attribute);
         return after.entrySet().stream()
                 .map(e -> String.format(
                         Locale.ROOT,
--- a/router/src/main/java/stagepier/shadow/RouterCounts.java
+++ b/router/src/main/java/stagepier/shadow/RouterCounts.java
@@ -9,15 +9,15 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * What one process of one router has counted, as it travels. Written by that process alone: of two, the one of the higher
- * sequence holds all that the other holds.
+ * The counts of one process of one router, in the form sent between routers. Only that process writes them: of two
+ * records, the one with the higher sequence number includes the other.
  *
- * @param router      its name
- * @param incarnation of the process
- * @param epoch       of its view when it was written
- * @param map         id of the candidate
- * @param sequence    grows with each change
- * @param times       histograms in microseconds, as HdrHistogram writes them, in base 64, by class and side
+ * @param router name of the router
+ * @param incarnation incarnation of the process
+ * @param epoch epoch of the router's view at the time of writing
+ * @param map id of the candidate
+ * @param sequence increases with each change
+ * @param times histograms in microseconds by class and side, in HdrHistogram's compressed encoding as base 64
  */
 record RouterCounts(
         String router,
@@ -27,16 +27,16 @@
         long sequence,
         SortedMap<String, Long> counters,
         SortedMap<String, String> times) {
-    /** Guards against a histogram that would take the memory of a router. */
-    private static final int TEXT_MOST = 16 * 1024;
+    /** Maximum characters of an encoded histogram; prevents a malformed one from exhausting the router's memory. */
+    private static final int MAX_HISTOGRAM_LENGTH = 16 * 1024;
 
     static RouterCounts of(String router, long incarnation, long epoch, Counts.Snapshot s) {
         SortedMap<String, String> times = new TreeMap<>();
-        s.times().forEach((which, h) -> times.put(which, encoded(h)));
+        s.times().forEach((which, h) -> times.put(which, encode(h)));
         return new RouterCounts(router, incarnation, epoch, s.map(), s.sequence(), s.counters(), times);
     }
 
-    private static String encoded(IntCountsHistogram h) {
+    private static String encode(IntCountsHistogram h) {
         ByteBuffer bytes = ByteBuffer.allocate(h.getNeededByteBufferCapacity());
         int n = h.encodeIntoCompressedByteBuffer(bytes);
         return Base64.getEncoder().encodeToString(java.util.Arrays.copyOf(bytes.array(), n));
@@ -51,8 +51,8 @@
         }
     }
 
-    /** Whether what came over a wire is whole. */
-    boolean isWhole() {
+    /** Returns whether a record received from another router is complete and within the limits. */
+    boolean isValid() {
         return router != null
                 && map != null
                 && counters != null
@@ -60,10 +60,10 @@
                 && incarnation > 0
                 && sequence >= 0
                 && counters.values().stream().allMatch(java.util.Objects::nonNull)
-                && times.values().stream().allMatch(t -> t != null && t.length() <= TEXT_MOST);
+                && times.values().stream().allMatch(t -> t != null && t.length() <= MAX_HISTOGRAM_LENGTH);
     }
 
-    /** Characters that it takes in a message, roughly. */
+    /** Returns the approximate number of characters of this record in a message. */
     int length() {
         return 200
                 + counters.keySet().stream().mapToInt(k -> k.length() + 24).sum()
--- a/router/src/main/java/stagepier/shadow/RouterState.java
+++ b/router/src/main/java/stagepier/shadow/RouterState.java
@@ -1,10 +1,10 @@
 package stagepier.shadow;
 
-/** How this router is, for the shadow. On the event loop. */
+/** The state of this router as the shadow needs it. Called on the event loop. */
 public interface RouterState {
-    /** The loop is late. */
+    /** Returns whether the event loop is late. */
     boolean isPressed();
 
-    /** It has been told to end, or staff paused it. */
+    /** Returns whether the router is shutting down or operators have paused it. */
     boolean isDraining();
 }
--- a/router/src/main/java/stagepier/shadow/ServerStates.java
+++ b/router/src/main/java/stagepier/shadow/ServerStates.java
@@ -7,18 +7,19 @@
 import stagepier.Api;
 
 /**
- * The cache servers as the list has them, and how the real executions at them end: what tells whether a copy may go there. Owned
- * by the event loop; others read {@link #members}. Times in seconds.
+ * The cache servers of the current list and the outcomes of the executions on them, copies included, which determine
+ * whether copies may be sent to a server. Owned by the event loop; other threads read {@link #members}. Times in
+ * seconds.
  */
 public final class ServerStates {
-    /** Seconds after a 'full' in which a server counts as crowded. */
-    private static final double CROWDED = 1;
-    /** Failures in a row that count as an open circuit, and seconds for which they do. */
-    private static final int FAILURES = 3;
+    /** Seconds after a FULL outcome during which a server counts as crowded. */
+    private static final double CROWDED_SECONDS = 1;
+    /** Number of consecutive failures that count as an open circuit breaker, and the seconds for which they do. */
+    private static final int FAILURE_THRESHOLD = 3;
 
-    private static final double OPEN = 5;
+    private static final double OPEN_SECONDS = 5;
 
-    /** What the module knows better: its own circuits and crowds. */
+    /** Checks what the routing module tracks itself: its circuit breakers and crowded servers. */
     @FunctionalInterface
     public interface EligibilityCheck {
         Eligibility of(double now, long server);
@@ -34,16 +35,16 @@
 
     private final Map<Long, State> servers = new HashMap<>();
     private final double warmUp;
-    private final EligibilityCheck judge;
+    private final EligibilityCheck eligibilityCheck;
     private volatile List<Api.Member> members = List.of();
 
-    /** @param warmUp seconds after its start for which a server is cold */
-    public ServerStates(double warmUp, EligibilityCheck judge) {
+    /** @param warmUp seconds after its start during which a server is cold */
+    public ServerStates(double warmUp, EligibilityCheck eligibilityCheck) {
         this.warmUp = warmUp;
-        this.judge = judge;
+        this.eligibilityCheck = eligibilityCheck;
     }
 
-    /** What the list says of a server now. */
+    /** Updates a server from the list. */
     public void listed(Api.Member member, InetSocketAddress address) {
         if (member.state() == Api.MemberState.GONE) {
             left(member.id());
@@ -55,7 +56,7 @@
         publish();
     }
 
-    /** A server that the list names no more. */
+    /** Removes a server that is no longer on the list. */
     public void left(long server) {
         servers.remove(server);
         publish();
@@ -68,25 +69,25 @@
                 .toList();
     }
 
-    /** All on the list; from any thread. */
+    /** Returns all servers on the list; may be called from any thread. */
     public List<Api.Member> members() {
         return members;
     }
 
-    /** Null where there is no such server. */
+    /** Returns null if the server is not on the list. */
     InetSocketAddress address(long server) {
         State s = servers.get(server);
         return s == null ? null : s.address;
     }
 
-    /** Null where there is no such server. */
+    /** Returns null if the server is not on the list. */
     Api.Member member(long server) {
         State s = servers.get(server);
         return s == null ? null : s.member;
     }
 
-    /** A real execution has ended. */
-    void ended(double now, long server, Api.Outcome outcome) {
+    /** Records the outcome of an execution. */
+    void recordOutcome(double now, long server, Api.Outcome outcome) {
         State s = servers.get(server);
         if (s == null) {
             return;
@@ -113,9 +114,9 @@
         if (s.member.startedAt() > 0 && now - s.member.startedAt() < warmUp) {
             return Eligibility.COLD;
         }
-        if (s.failures >= FAILURES && now - s.failedAt < OPEN) {
+        if (s.failures >= FAILURE_THRESHOLD && now - s.failedAt < OPEN_SECONDS) {
             return Eligibility.OPEN;
         }
-        return now - s.fullAt < CROWDED ? Eligibility.CROWDED : judge.of(now, server);
+        return now - s.fullAt < CROWDED_SECONDS ? Eligibility.CROWDED : eligibilityCheck.of(now, server);
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowCopies.java
+++ b/router/src/main/java/stagepier/shadow/ShadowCopies.java
@@ -29,54 +29,59 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * Sends copies beside the real requests and compares what comes. On the event loop; reads orders without waiting and hands over
- * counts by a box that drops. Whatever fails in here ends the shadow, never a real request.
+ * Sends copies of real requests and compares the results. Runs on the event loop; reads the current plan without
+ * blocking and hands over counts through a mailbox that drops them when it is full. A failure in this class ends the
+ * shadow and never affects a real request.
  */
 public final class ShadowCopies implements ShadowTap {
     private static final Logger LOG = LoggerFactory.getLogger(ShadowCopies.class);
-    /** Requests that are looked at at a time. Guards the heap. */
-    private static final int PAIRS_MOST = 256;
+    /** Limits the sampled requests that are held at the same time, and thus their heap use. */
+    private static final int MAX_SAMPLED_REQUESTS = 256;
 
     private static final int TICK_MS = 50;
     /**
-     * The copy goes out when the real execution has ended, so that neither's time holds what the loop does for the other; at the latest
-     * after this part of the request's time, so that what the real one fails at is seen, too.
+     * Fraction of the request's time after which the copy is sent at the latest. Normally the copy is sent when the
+     * real execution has ended, so that neither time includes the work of the event loop for the other. The limit
+     * ensures that requests whose real execution fails late are compared as well.
      */
-    private static final double WAITS_PART = 0.25;
-    /** So many are compared without a score: the code for copies runs slowly until it has been compiled. */
-    private static final int COMPARED_COLD = 50;
-    /** Ticks between two hand-overs of counts. */
-    private static final int PUBLISH_EVERY = 5;
+    private static final double MAX_WAIT_FRACTION = 0.25;
+    /**
+     * Comparisons at the start that are not scored, since the code for copies runs slowly until the JIT has compiled
+     * it.
+     */
+    private static final int UNSCORED_COMPARISONS = 50;
+    /** Ticks between two publications of counts. */
+    private static final int PUBLISH_INTERVAL_TICKS = 5;
 
     /**
-     * What it works with.
+     * The dependencies of the copies.
      *
-     * @param linksMost  descriptors set aside for copies
-     * @param ids        beginning of the copies' ids: this process's own, up to 16 letters and digits
-     * @param nanoTime   of {@code Tasks}
-     * @param orders     what holds now; null for nothing
-     * @param tell       takes counts; false where its box is full
-     * @param promoted   the ring that has part of the keys; null for none
-     * @param promote    gives that to the module
+     * @param maxLinks descriptors reserved for copies
+     * @param idPrefix prefix of the copies' ids, unique to this process, up to 16 letters and digits
+     * @param nanoTime clock of {@code Tasks}
+     * @param plan supplies the current plan; null for none
+     * @param publish takes counts; false if the mailbox is full
+     * @param promoted supplies the ring that serves part of the keys; null for none
+     * @param promote passes that ring to the routing module
      */
     public record Parts(
             EventLoop loop,
             Clock clock,
             Connector connector,
             SettingsParser.Parsed settings,
-            int linksMost,
-            String ids,
+            int maxLinks,
+            String idPrefix,
             RouterState router,
             ServerStates servers,
             LongSupplier nanoTime,
-            Supplier<ShadowPlan> orders,
+            Supplier<ShadowPlan> plan,
             Predicate<Counts.Snapshot> publish,
             Supplier<Api.PromotedRing> promoted,
             Consumer<Api.PromotedRing> promote,
             History history) {}
 
-    /** A real request in the slice, and its copy. */
-    private static final class Pair {
+    /** A real request within the slice, and its copy. */
+    private static final class SampledRequest {
         private final Exchange real;
         private final long server;
         private final String className;
@@ -84,20 +89,23 @@
         private boolean first;
         private long candidate;
         private boolean copied;
-        private boolean considered;
-        /** The copy goes where the real one went: what is true of all copies shows there, too. */
+        private boolean decided;
+        /**
+         * The copy is sent to the server of the real request, as a control: effects that all copies have show there as
+         * well.
+         */
         private boolean control;
 
         private long target;
         private Future<?> timer;
         private int attempts = 1;
-        /** What the client got, for the history. */
+        /** The answer that the client received, for the history. */
         private String answer;
 
-        private ExecutionResult seen;
-        private ExecutionResult copy;
+        private ExecutionResult realResult;
+        private ExecutionResult copyResult;
 
-        Pair(Exchange real, long server, String className, long key) {
+        SampledRequest(Exchange real, long server, String className, long key) {
             this.real = real;
             this.server = server;
             this.className = className;
@@ -107,29 +115,32 @@
 
     private final Parts parts;
     private final ShadowLinks links;
-    private final Map<Long, Pair> pairs = new HashMap<>();
-    /** Requests that were copied before they had their answer: for the history. Those whose client left fall out. */
-    private final Map<Long, Pair> copied = new LinkedHashMap<>() {
+    private final Map<Long, SampledRequest> sampled = new HashMap<>();
+    /**
+     * Requests that were copied before they were answered, for the history. The eldest are evicted, such as those whose
+     * client disconnected.
+     */
+    private final Map<Long, SampledRequest> copiedUnanswered = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Pair> eldest) {
-            return size() > PAIRS_MOST;
+        protected boolean removeEldestEntry(Map.Entry<Long, SampledRequest> eldest) {
+            return size() > MAX_SAMPLED_REQUESTS;
         }
     };
 
-    private ShadowPlan orders;
+    private ShadowPlan plan;
     private ShadowRules rules;
-    private KeyMemory memory;
+    private RecentKeys recentKeys;
     private Counts counts;
-    private String id = "";
-    private SecondLook look;
+    private String mapId = "";
+    private ValueRecheck recheck;
     private Api.PromotedRing promoted;
     private boolean halted;
-    private boolean broken;
+    private boolean failed;
     private final SplittableRandom random;
     private long lastId;
-    /** Since this process began, whatever the map. */
+    /** Number of comparisons since this process started, over all candidates. */
     private long compared;
 
     private long publishedSequence;
@@ -137,34 +148,34 @@
 
     public ShadowCopies(Parts parts) {
         this.parts = parts;
-        random = new SplittableRandom(parts.ids().hashCode());
+        random = new SplittableRandom(parts.idPrefix().hashCode());
         links = new ShadowLinks(
                 parts.loop(),
                 parts.clock(),
                 parts.connector(),
-                parts.linksMost(),
+                parts.maxLinks(),
                 parts.settings().idleClose());
     }
 
-    /** From here on it looks after its links and tells its counts. */
+    /** Starts the periodic task that closes unused links and publishes the counts. */
     public void start() {
         parts.loop().scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Connections for copies that are open or being opened. */
+    /** Returns the number of connections for copies that are open or being opened. */
     public int links() {
         return links.size();
     }
 
-    // ---- what is heard of the real requests --------------------------------------------------------------
+    // ---- callbacks of the real requests -------------------------------------------------------------------
     @Override
     public void sent(Exchange x, int attempt, long server, double now) {
-        Pair p = copied.getOrDefault(x.id(), pairs.get(x.id()));
-        if (p != null) {
-            p.attempts = attempt + 1;
+        SampledRequest sample = copiedUnanswered.getOrDefault(x.id(), sampled.get(x.id()));
+        if (sample != null) {
+            sample.attempts = attempt + 1;
         }
-        if (attempt == 0 && !broken) {
-            guarded(() -> look(x, server));
+        if (attempt == 0 && !failed) {
+            guarded(() -> sampleRequest(x, server));
         }
     }
 
@@ -178,17 +189,18 @@
             Reply served,
             double elapsed,
             double now) {
-        if (!broken) {
+        if (!failed) {
             guarded(() -> {
-                parts.servers().ended(now, server, outcome);
-                Pair p = attempt == 0 ? pairs.get(x.id()) : null;
-                if (p != null) {
+                parts.servers().recordOutcome(now, server, outcome);
+                SampledRequest sample = attempt == 0 ? sampled.get(x.id()) : null;
+                if (sample != null) {
                     ServerTransport.Transmission sending = x.sending(0);
                     long value = served == null || served.flow() != null ? 0 : ExecutionResult.checksum(served.body());
-                    p.seen = new ExecutionResult(outcome, lookup, value, elapsed, sending == null || sending.isAlone());
-                    complete(p);
-                    // After this turn's work: the client's answer goes first.
-                    parts.loop().execute(() -> guarded(() -> consider(p)));
+                    sample.realResult =
+                            new ExecutionResult(outcome, lookup, value, elapsed, sending == null || sending.isAlone());
+                    compareIfComplete(sample);
+                    // Deferred to the next turn of the event loop: the client's answer has priority.
+                    parts.loop().execute(() -> guarded(() -> decideOnCopy(sample)));
                 }
             });
         }
@@ -196,190 +208,195 @@
 
     @Override
     public void answered(Exchange x, Reply reply, double now) {
-        Pair p = copied.remove(x.id());
-        Pair open = p == null ? pairs.get(x.id()) : p;
+        SampledRequest sample = copiedUnanswered.remove(x.id());
+        SampledRequest open = sample == null ? sampled.get(x.id()) : sample;
         if (open != null && parts.history() != History.NONE) {
             guarded(() -> {
                 open.answer = reply.kind().name() + " " + Long.toHexString(ExecutionResult.checksum(reply.body()));
-                if (p != null) {
-                    writeReal(p);
+                if (sample != null) {
+                    writeReal(sample);
                 }
             });
         }
-        if (!broken && reply.kind() == Reply.Kind.THROTTLE && rules != null) {
+        if (!failed && reply.kind() == Reply.Kind.THROTTLE && rules != null) {
             guarded(() -> {
-                rules.refused(now);
-                giveWay(now);
+                rules.recordRefusal(now);
+                yieldIfRequired(now);
             });
         }
     }
 
-    private void writeReal(Pair p) {
+    private void writeReal(SampledRequest sample) {
         parts.history()
                 .write(
                         "shadow.real",
                         "id",
-                        p.real.command().id(),
+                        sample.real.command().id(),
                         "server",
-                        Long.toString(p.server),
+                        Long.toString(sample.server),
                         "attempts",
-                        p.attempts,
+                        sample.attempts,
                         "answer",
-                        p.answer);
+                        sample.answer);
     }
 
-    /** Guards the real requests, in the middle of which this runs. */
+    /**
+     * Runs an action and ends the shadow if it throws. Callbacks run while a real request is processed, which must not
+     * fail because of a copy.
+     */
     private void guarded(Runnable what) {
         try {
             what.run();
         } catch (RuntimeException e) {
-            broken = true;
-            LOG.error("the shadow failed and has ended until the next start", e);
+            failed = true;
+            LOG.error("shadow failed; no copies are sent until the router is restarted", e);
             parts.loop().execute(() -> {
-                pairs.clear();
-                links.dropAll();
+                sampled.clear();
+                links.closeAll();
             });
         }
     }
 
-    private void look(Exchange x, long server) {
-        ShadowPlan now = parts.orders().get();
-        if (now == null) {
+    private void sampleRequest(Exchange x, long server) {
+        ShadowPlan current = parts.plan().get();
+        if (current == null) {
             return;
         }
-        takeUp(now);
+        adoptPlan(current);
         Command command = x.command();
         String className = command.attribute("c");
-        if (!isOrdered() || command.kind() != Command.Kind.GET || !orders.map().covers(className, command.key())) {
+        if (!isActive() || command.kind() != Command.Kind.GET || !plan.map().covers(className, command.key())) {
             return;
         }
         long key = Ids.ofKey(command.key());
-        if (!orders.slice().holds(key, orders.map().slice())) {
+        if (!plan.slice().contains(key, plan.map().slice())) {
             return;
         }
         counts.add("asked", 1);
-        if (pairs.size() >= PAIRS_MOST) {
+        if (sampled.size() >= MAX_SAMPLED_REQUESTS) {
             counts.add(CopyDecision.NO_LINK.counter(), 1);
             return;
         }
-        Pair p = new Pair(x, server, className, key);
-        pairs.put(x.id(), p);
-        double waits = WAITS_PART * (x.deadlineAt() - x.takenAt());
-        p.timer = parts.loop().schedule(() -> guarded(() -> consider(p)), (long) (waits * 1e6), TimeUnit.MICROSECONDS);
+        SampledRequest sample = new SampledRequest(x, server, className, key);
+        sampled.put(x.id(), sample);
+        double maxWait = MAX_WAIT_FRACTION * (x.deadlineAt() - x.takenAt());
+        sample.timer = parts.loop()
+                .schedule(() -> guarded(() -> decideOnCopy(sample)), (long) (maxWait * 1e6), TimeUnit.MICROSECONDS);
     }
 
-    /** Other orders: where they are of another map, all begins anew. */
-    private void takeUp(ShadowPlan now) {
-        if (now == orders) {
+    /** Adopts a new plan; if it is for a different candidate, resets all state. */
+    private void adoptPlan(ShadowPlan newPlan) {
+        if (newPlan == plan) {
             return;
         }
-        if (now.isOtherMap(orders)) {
-            links.dropAll();
-            pairs.clear();
-            rules = new ShadowRules(now.map(), now.fleet());
-            memory = new KeyMemory();
+        if (newPlan.needsNewCounters(plan)) {
+            links.closeAll();
+            sampled.clear();
+            rules = new ShadowRules(newPlan.map(), newPlan.fleet());
+            recentKeys = new RecentKeys();
             counts = new Counts();
-            id = now.map().id();
-            look = null;
+            mapId = newPlan.map().id();
+            recheck = null;
             halted = false;
             publishedSequence = 0;
         }
-        orders = now;
+        plan = newPlan;
     }
 
-    private boolean isOrdered() {
-        return !halted && !broken && orders.holdAt(parts.nanoTime().getAsLong());
+    private boolean isActive() {
+        return !halted && !failed && plan.isActiveAt(parts.nanoTime().getAsLong());
     }
 
     // ---- copies -------------------------------------------------------------------------------------------
-    private void consider(Pair p) {
-        p.timer.cancel(false);
-        if (p.considered || pairs.get(p.real.id()) != p) {
+    private void decideOnCopy(SampledRequest sample) {
+        sample.timer.cancel(false);
+        if (sample.decided || sampled.get(sample.real.id()) != sample) {
             return;
         }
-        p.considered = true;
-        CopyDecision ruling =
-                p.seen != null && p.seen.outcome() == Api.Outcome.CANCELLED ? CopyDecision.NOT_SENT : rule(p);
-        counts.add(ruling.counter(), 1);
-        if (ruling != CopyDecision.COPY) {
-            pairs.remove(p.real.id());
+        sample.decided = true;
+        CopyDecision decision = sample.realResult != null && sample.realResult.outcome() == Api.Outcome.CANCELLED
+                ? CopyDecision.NOT_SENT
+                : decide(sample);
+        counts.add(decision.counter(), 1);
+        if (decision != CopyDecision.COPY) {
+            sampled.remove(sample.real.id());
         }
     }
 
-    private CopyDecision rule(Pair p) {
+    private CopyDecision decide(SampledRequest sample) {
         double now = parts.clock().now();
-        p.candidate = orders.ring().owner(p.key);
-        p.first = memory.isFirst(now, p.key);
-        int index = parts.settings().names().classes().indexOf(p.className);
+        sample.candidate = plan.ring().owner(sample.key);
+        sample.first = recentKeys.isFirst(now, sample.key);
+        int index = parts.settings().names().classes().indexOf(sample.className);
         boolean repeatable =
                 index >= 0 && parts.settings().settings().classes().get(index).repeat() == Api.Repeat.SAFE;
-        long present = orders.present().owner(p.key);
-        load(present, "now");
-        load(p.candidate, "then");
-        ServerTransport.Transmission sending = p.real.sending(0);
-        double left = p.real.deadlineAt() - now;
-        CopyDecision ruling = rules.rule(
+        long present = plan.present().owner(sample.key);
+        countLoad(present, "now");
+        countLoad(sample.candidate, "then");
+        ServerTransport.Transmission sending = sample.real.sending(0);
+        double timeLeft = sample.real.deadlineAt() - now;
+        CopyDecision decision = rules.decide(
                 now,
                 new ShadowRules.OriginalRequest(
                         repeatable,
-                        p.real.command().isWrite(),
+                        sample.real.command().isWrite(),
                         0,
                         sending != null && sending.isOut(),
-                        p.real.deadlineAt() - p.real.takenAt(),
-                        left,
-                        p.first),
-                new ShadowRules.Owners(p.server, present, p.candidate),
-                isOrdered(),
+                        sample.real.deadlineAt() - sample.real.takenAt(),
+                        timeLeft,
+                        sample.first),
+                new ShadowRules.Owners(sample.server, present, sample.candidate),
+                isActive(),
                 parts.router(),
-                parts.servers().of(now, p.candidate));
-        if (ruling != CopyDecision.COPY) {
-            return ruling;
+                parts.servers().of(now, sample.candidate));
+        if (decision != CopyDecision.COPY) {
+            return decision;
         }
-        if (look != null) {
-            // What is in doubt comes first.
+        if (recheck != null) {
+            // A pending recheck has priority.
             return CopyDecision.OVER_BUDGET;
         }
-        p.control = !p.first && random.nextBoolean();
-        p.target = p.control ? p.server : p.candidate;
-        if (p.control && parts.servers().of(now, p.target) != Eligibility.FIT) {
+        sample.control = !sample.first && random.nextBoolean();
+        sample.target = sample.control ? sample.server : sample.candidate;
+        if (sample.control && parts.servers().of(now, sample.target) != Eligibility.FIT) {
             return CopyDecision.NOT_FIT;
         }
-        ShadowLink link = links.free(p.target, parts.servers().address(p.target));
-        ruling = link == null ? CopyDecision.NO_LINK : rules.afford(now, p.first);
-        if (ruling == CopyDecision.COPY) {
-            p.copied = true;
-            String real = p.real.command().id();
+        ShadowLink link = links.acquire(sample.target, parts.servers().address(sample.target));
+        decision = link == null ? CopyDecision.NO_LINK : rules.reserve(now, sample.first);
+        if (decision == CopyDecision.COPY) {
+            sample.copied = true;
+            String real = sample.real.command().id();
             parts.history()
                     .write(
                             "shadow.copy",
                             "map",
-                            id,
+                            mapId,
                             "id",
-                            p.control ? "" : real,
+                            sample.control ? "" : real,
                             "key",
-                            p.real.command().key(),
+                            sample.real.command().key(),
                             "server",
-                            Long.toString(p.target));
-            if (p.control) {
+                            Long.toString(sample.target));
+            if (sample.control) {
                 counts.add("controls", 1);
-            } else if (p.answer == null) {
-                copied.put(p.real.id(), p);
+            } else if (sample.answer == null) {
+                copiedUnanswered.put(sample.real.id(), sample);
             } else {
-                writeReal(p);
+                writeReal(sample);
             }
-            send(link, p.real.command(), left, seen -> {
-                p.copy = seen;
-                complete(p);
+            send(link, sample.real.command(), timeLeft, result -> {
+                sample.copyResult = result;
+                compareIfComplete(sample);
             });
         }
-        return ruling;
+        return decision;
     }
 
     /**
-     * Requests by zone and kind, as they are and as the candidate would have them: with {@link RingDifference}, the load
-     * that is foretold.
+     * Counts requests by zone and kind, as routed now and by the candidate. Together with {@link RingDifference}, this
+     * predicts the load.
      */
-    private void load(long server, String when) {
+    private void countLoad(long server, String when) {
         Api.Member member = parts.servers().member(server);
         if (member != null) {
             SettingsParser.Names names = parts.settings().names();
@@ -392,83 +409,87 @@
         return index >= 0 && index < names.size() ? names.get(index) : "other";
     }
 
-    private void send(ShadowLink link, Command command, double left, Consumer<ExecutionResult> done) {
-        String copyId = parts.ids() + Long.toHexString(++lastId);
+    private void send(ShadowLink link, Command command, double timeLeft, Consumer<ExecutionResult> done) {
+        String copyId = parts.idPrefix() + Long.toHexString(++lastId);
         counts.add("copies", 1);
-        links.ask(link, new ShadowRequest(copyId, command, left, seen -> guarded(() -> done.accept(seen))));
+        links.send(link, new ShadowRequest(copyId, command, timeLeft, result -> guarded(() -> done.accept(result))));
     }
 
-    /** Both have ended, or it is waited for the other. */
-    private void complete(Pair p) {
-        if (p.seen == null || p.copied && p.copy == null || !p.copied) {
+    /** Compares the two results once both executions have ended. */
+    private void compareIfComplete(SampledRequest sample) {
+        if (sample.realResult == null || sample.copied && sample.copyResult == null || !sample.copied) {
             return;
         }
-        if (pairs.remove(p.real.id(), p)) {
-            compare(p);
+        if (sampled.remove(sample.real.id(), sample)) {
+            compare(sample);
         }
     }
 
-    private void compare(Pair p) {
+    private void compare(SampledRequest sample) {
         double now = parts.clock().now();
-        parts.servers().ended(now, p.target, p.copy.outcome());
-        long before = memory.before(p.key, p.seen.value());
-        ComparisonResult result = Comparison.of(p.seen, p.copy, p.first, before);
-        memory.gave(p.key, p.seen.value());
-        double score = Comparison.score(result, p.seen, p.copy, p.copy.alone());
-        if (++compared > COMPARED_COLD) {
-            counts.score(p.control, score);
-        }
-        if (!Double.isNaN(score) && p.seen.isServed() && p.copy.isServed()) {
-            counts.time(p.className + ".real", p.seen.elapsed());
-            counts.time(p.className + (p.control ? ".control" : ".copy"), p.copy.elapsed());
-        }
-        if (p.control) {
+        parts.servers().recordOutcome(now, sample.target, sample.copyResult.outcome());
+        long previousValue = recentKeys.previousValue(sample.key, sample.realResult.value());
+        ComparisonResult result = Comparison.of(sample.realResult, sample.copyResult, sample.first, previousValue);
+        recentKeys.recordValue(sample.key, sample.realResult.value());
+        double score = Comparison.score(result, sample.realResult, sample.copyResult, sample.copyResult.exclusive());
+        if (++compared > UNSCORED_COMPARISONS) {
+            counts.addScore(sample.control, score);
+        }
+        if (!Double.isNaN(score) && sample.realResult.isServed() && sample.copyResult.isServed()) {
+            counts.recordTime(sample.className + ".real", sample.realResult.elapsed());
+            counts.recordTime(sample.className + (sample.control ? ".control" : ".copy"), sample.copyResult.elapsed());
+        }
+        if (sample.control) {
             return;
         }
-        if (p.copy.isServed()) {
-            memory.copied(now, p.key);
+        if (sample.copyResult.isServed()) {
+            recentKeys.recordCopy(now, sample.key);
         }
-        if (!p.first && p.copy.isMiss()) {
-            rules.fetched(now);
+        if (!sample.first && sample.copyResult.isMiss()) {
+            rules.recordFetch(now);
         }
         counts.add(result.counter(), 1);
-        if (!p.first && p.seen.isHit() && p.copy.isMiss()) {
+        if (!sample.first && sample.realResult.isHit() && sample.copyResult.isMiss()) {
             counts.add("miss_for_hit", 1);
-        } else if (!p.first && p.seen.isMiss() && p.copy.isHit()) {
+        } else if (!sample.first && sample.realResult.isMiss() && sample.copyResult.isHit()) {
             counts.add("hit_for_miss", 1);
         }
-        if (result == ComparisonResult.IN_DOUBT && look == null) {
-            Command command = p.real.command();
-            look = new SecondLook(
-                    (server, done) -> askAgain(server, command, done),
-                    p.server,
-                    p.candidate,
-                    p.seen,
-                    p.copy,
+        if (result == ComparisonResult.IN_DOUBT && recheck == null) {
+            Command command = sample.real.command();
+            recheck = new ValueRecheck(
+                    (server, done) -> sendRecheck(server, command, done),
+                    sample.server,
+                    sample.candidate,
+                    sample.realResult,
+                    sample.copyResult,
                     now,
-                    this::judged);
+                    this::onRecheckResult);
         }
     }
 
-    /** @return whether it was sent */
-    private boolean askAgain(long server, Command command, Consumer<ExecutionResult> done) {
+    /**
+     * Queries a server again for a recheck.
+     *
+     * @return whether the query was sent
+     */
+    private boolean sendRecheck(long server, Command command, Consumer<ExecutionResult> done) {
         double now = parts.clock().now();
-        if (rules.givesWay(now, isOrdered(), parts.router()) || parts.servers().of(now, server) != Eligibility.FIT) {
+        if (rules.mustYield(now, isActive(), parts.router()) || parts.servers().of(now, server) != Eligibility.FIT) {
             return false;
         }
-        ShadowLink link = links.free(server, parts.servers().address(server));
-        if (link == null || rules.afford(now, false) != CopyDecision.COPY) {
+        ShadowLink link = links.acquire(server, parts.servers().address(server));
+        if (link == null || rules.reserve(now, false) != CopyDecision.COPY) {
             return false;
         }
         int index = parts.settings().names().classes().indexOf(command.attribute("c"));
         parts.history()
-                .write("shadow.copy", "map", id, "id", "", "key", command.key(), "server", Long.toString(server));
+                .write("shadow.copy", "map", mapId, "id", "", "key", command.key(), "server", Long.toString(server));
         send(link, command, parts.settings().settings().classes().get(index).deadline(), done);
         return true;
     }
 
-    private void judged(ComparisonResult result) {
-        look = null;
+    private void onRecheckResult(ComparisonResult result) {
+        recheck = null;
         if (result == ComparisonResult.IN_DOUBT) {
             counts.add("left_in_doubt", 1);
             return;
@@ -476,18 +497,18 @@
         counts.add(result.counter(), 1);
         if (result == ComparisonResult.WRONG) {
             halted = true;
-            parts.history().write("shadow.wrong", "map", id);
-            LOG.warn("candidate {} gives wrong answers: stopped here", id);
-            giveWay(parts.clock().now());
+            parts.history().write("shadow.wrong", "map", mapId);
+            LOG.warn("candidate {} returned a wrong value; copies are stopped on this router", mapId);
+            yieldIfRequired(parts.clock().now());
             publishCounts();
         }
     }
 
-    // ---- giving way ---------------------------------------------------------------------------------------
-    /** The first thing that is given up: all that is out ends now. */
-    private void giveWay(double now) {
-        if (rules != null && rules.givesWay(now, isOrdered(), parts.router())) {
-            links.dropAll();
+    // ---- yielding to real requests ------------------------------------------------------------------------
+    /** Drops all copies in flight if copies have to yield. Copies are the first load to be shed. */
+    private void yieldIfRequired(double now) {
+        if (rules != null && rules.mustYield(now, isActive(), parts.router())) {
+            links.closeAll();
         }
     }
 
@@ -498,41 +519,41 @@
             parts.promote().accept(now);
         }
         guarded(() -> {
-            ShadowPlan current = parts.orders().get();
-            if (broken || current == null) {
+            ShadowPlan current = parts.plan().get();
+            if (failed || current == null) {
                 return;
             }
-            takeUp(current);
+            adoptPlan(current);
             double time = parts.clock().now();
-            giveWay(time);
-            links.sweep(server -> {
-                Eligibility fitness = parts.servers().of(time, server);
-                return fitness != Eligibility.ABSENT && fitness != Eligibility.DRAINING;
+            yieldIfRequired(time);
+            links.closeUnused(server -> {
+                Eligibility eligibility = parts.servers().of(time, server);
+                return eligibility != Eligibility.ABSENT && eligibility != Eligibility.DRAINING;
             });
-            if (look != null) {
-                look.look(time);
+            if (recheck != null) {
+                recheck.proceed(time);
             }
-            if (++ticks % PUBLISH_EVERY == 0) {
+            if (++ticks % PUBLISH_INTERVAL_TICKS == 0) {
                 publishCounts();
             }
         });
     }
 
     private void publishCounts() {
-        if (counts.sequence() != publishedSequence && parts.publish().test(counts.snapshot(id))) {
+        if (counts.sequence() != publishedSequence && parts.publish().test(counts.snapshot(mapId))) {
             publishedSequence = counts.sequence();
         }
     }
 
-    /** Ends for good: gives back all links. */
+    /** Stops copying for good and closes all links. */
     public void stop() {
-        broken = true;
-        new ArrayList<>(pairs.values()).forEach(p -> pairs.remove(p.real.id()));
-        links.dropAll();
+        failed = true;
+        new ArrayList<>(sampled.values()).forEach(sample -> sampled.remove(sample.real.id()));
+        links.closeAll();
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "shadow of %s, %d links", id, links.size());
+        return String.format(Locale.ROOT, "shadow of %s, %d links", mapId, links.size());
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowLink.java
+++ b/router/src/main/java/stagepier/shadow/ShadowLink.java
@@ -10,32 +10,32 @@
 import stagepier.overload.MemoryBudget;
 
 /**
- * A connection to a cache server for copies alone: one copy at a time, so that its time is the server's own. Shares nothing with
- * the connections of real requests.
+ * A connection to a cache server that carries copies only, one at a time, so that the measured time is that of the
+ * server alone. Shares nothing with the connections of real requests.
  */
 final class ShadowLink extends Link {
-    /** What the link tells its owner. */
+    /** Clock and close callback that the link uses. */
     interface Owner {
         double now();
 
-        /** Called once. */
+        /** Called once, when the link has closed. */
         void closed(ShadowLink link);
     }
 
     private final Owner owner;
     private final long server;
     private final AnswerParser parser;
-    private ShadowRequest out;
-    private boolean up;
-    private boolean steady;
+    private ShadowRequest inFlight;
+    private boolean connected;
+    private boolean warm;
     private double usedAt;
-    private boolean passing;
+    private boolean discarding;
 
-    /** @param room for values that are collected, shared by all copies */
-    ShadowLink(Owner owner, long server, MemoryBudget room) {
+    /** @param memory memory budget for buffered values, shared by all copies */
+    ShadowLink(Owner owner, long server, MemoryBudget memory) {
         this.owner = owner;
         this.server = server;
-        parser = new AnswerParser(room);
+        parser = new AnswerParser(memory);
         usedAt = owner.now();
     }
 
@@ -44,86 +44,86 @@
     }
 
     boolean isFree() {
-        return up && out == null && !passing && !isClosed();
+        return connected && inFlight == null && !discarding && !isClosed();
     }
 
     boolean isBusy() {
-        return out != null;
+        return inFlight != null;
     }
 
-    /** It has served before: what comes first on a connection takes longer. */
-    boolean isSteady() {
-        return steady;
+    /** Returns whether the link has served a request before: the first request on a connection takes longer. */
+    boolean isWarm() {
+        return warm;
     }
 
     double usedAt() {
         return usedAt;
     }
 
-    void ask(ShadowRequest ask) {
-        out = ask;
+    void send(ShadowRequest request) {
+        inFlight = request;
         usedAt = owner.now();
-        queue(ask.message());
+        queue(request.message());
         pump();
     }
 
-    /** Gives up whatever is out: that says nothing against its server. */
-    void drop() {
-        ShadowRequest ended = out;
-        out = null;
+    /** Closes the link and cancels the request in flight, which does not count against the server. */
+    void abandon() {
+        ShadowRequest ended = inFlight;
+        inFlight = null;
         close(CloseReason.UNUSED);
         if (ended != null) {
-            ended.end(Api.Outcome.CANCELLED, owner.now());
+            ended.complete(Api.Outcome.CANCELLED, owner.now());
         }
     }
 
     @Override
     protected void onUp() {
-        up = true;
+        connected = true;
     }
 
     @Override
     protected void onInput(RingBuffer bytes) throws MalformedException {
-        if (passing) {
+        if (discarding) {
             parser.passOver(bytes);
-            passing = !parser.endsFlow(bytes);
+            discarding = !parser.endsFlow(bytes);
             return;
         }
-        if (out == null) {
+        if (inFlight == null) {
             if (unread() > 0) {
-                throw new MalformedException("bytes that nothing asked for");
+                throw new MalformedException("unexpected input while no request is in flight");
             }
             return;
         }
         Answer answer = parser.next(bytes, true);
         if (answer == null) {
             if (parser.isBlocked()) {
-                // No room for it: too many large values at a time.
-                drop();
+                // The memory budget is used up: too many large values at the same time.
+                abandon();
             }
             return;
         }
-        if (!out.accepts(answer)) {
-            throw new MalformedException("an answer to nothing that was asked");
+        if (!inFlight.accepts(answer)) {
+            throw new MalformedException("answer does not match the request in flight");
         }
-        ShadowRequest ended = out;
-        out = null;
-        steady = true;
+        ShadowRequest ended = inFlight;
+        inFlight = null;
+        warm = true;
         usedAt = owner.now();
-        passing = answer.flow() > 0;
-        ended.answered(answer, usedAt);
-        if (passing && !isClosed()) {
+        discarding = answer.flow() > 0;
+        ended.onAnswer(answer, usedAt);
+        if (discarding && !isClosed()) {
             onInput(bytes);
         }
     }
 
     @Override
     protected void onMalformed(MalformedException e) {
-        ShadowRequest ended = out;
-        out = null;
+        ShadowRequest ended = inFlight;
+        inFlight = null;
         close(CloseReason.MALFORMED);
         if (ended != null) {
-            ended.end(Api.Outcome.ERROR, owner.now());
+            ended.complete(Api.Outcome.ERROR, owner.now());
         }
     }
 
@@ -142,10 +142,10 @@
     protected void onClosed() {
         parser.drop();
         owner.closed(this);
-        ShadowRequest lost = out;
-        out = null;
+        ShadowRequest lost = inFlight;
+        inFlight = null;
         if (lost != null) {
-            lost.end(Api.Outcome.RESET, owner.now());
+            lost.complete(Api.Outcome.RESET, owner.now());
         }
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowLinks.java
+++ b/router/src/main/java/stagepier/shadow/ShadowLinks.java
@@ -14,35 +14,38 @@
 import stagepier.overload.MemoryBudget;
 import stagepier.server.Connector;
 
-/** The connections for copies; owns them. On the event loop. */
+/** Owns the connections for copies. Used on the event loop. */
 final class ShadowLinks implements ShadowLink.Owner {
-    /** To one server: one copy at a time is out on each. */
-    private static final int TO_ONE = 2;
-    /** Bytes of values of copies that are held at a time. */
-    private static final long ROOM = 512 * 1024;
-    /** Seconds after which one that is of no use is given back, before its server closes it. */
-    private static final double IDLE_MOST = 10;
+    /** Connections per server; each carries one copy at a time. */
+    private static final int MAX_LINKS_PER_SERVER = 2;
+    /** Bytes of the values of copies that may be buffered at the same time. */
+    private static final long MAX_BUFFERED_BYTES = 512 * 1024;
+    /**
+     * Maximum idle seconds of a link, and the fraction of the servers' own idle timeout at which a link is closed
+     * before its server closes it.
+     */
+    private static final double MAX_IDLE_SECONDS = 10;
 
-    private static final double IDLE_PART = 0.5;
+    private static final double MAX_IDLE_FRACTION = 0.5;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Connector connector;
-    private final int most;
-    private final double idleMost;
+    private final int maxLinks;
+    private final double maxIdleSeconds;
     private final List<ShadowLink> links = new ArrayList<>();
-    private final MemoryBudget room = new MemoryBudget(ROOM);
+    private final MemoryBudget memory = new MemoryBudget(MAX_BUFFERED_BYTES);
 
     /**
-     * @param most      links to all servers together
+     * @param maxLinks maximum number of links to all servers together
      * @param idleClose seconds after which servers close idle links; 0 for never
      */
-    ShadowLinks(EventLoop loop, Clock clock, Connector connector, int most, double idleClose) {
+    ShadowLinks(EventLoop loop, Clock clock, Connector connector, int maxLinks, double idleClose) {
         this.loop = loop;
         this.clock = clock;
         this.connector = connector;
-        this.most = most;
-        idleMost = idleClose > 0 ? Math.min(IDLE_MOST, IDLE_PART * idleClose) : IDLE_MOST;
+        this.maxLinks = maxLinks;
+        maxIdleSeconds = idleClose > 0 ? Math.min(MAX_IDLE_SECONDS, MAX_IDLE_FRACTION * idleClose) : MAX_IDLE_SECONDS;
     }
 
     @Override
@@ -50,27 +53,30 @@
         return clock.now();
     }
 
-    /** One that is free; where there is none, one is brought up for later if there may be one more, and null. */
-    ShadowLink free(long server, InetSocketAddress address) {
-        int there = 0;
+    /**
+     * Returns a free link to a server. If there is none, opens one for later use if the limits allow it, and returns
+     * null.
+     */
+    ShadowLink acquire(long server, InetSocketAddress address) {
+        int existing = 0;
         boolean opening = false;
         for (ShadowLink link : links) {
             if (link.server() == server) {
                 if (link.isFree()) {
                     return link;
                 }
-                there++;
+                existing++;
                 opening |= !link.isBusy();
             }
         }
-        if (there < TO_ONE && !opening && links.size() < most && address != null) {
+        if (existing < MAX_LINKS_PER_SERVER && !opening && links.size() < maxLinks && address != null) {
             open(server, address);
         }
         return null;
     }
 
     private void open(long server, InetSocketAddress address) {
-        ShadowLink link = new ShadowLink(this, server, room);
+        ShadowLink link = new ShadowLink(this, server, memory);
         links.add(link);
         ChannelFuture up;
         try {
@@ -83,33 +89,33 @@
                     },
                     address);
         } catch (ChannelException e) {
-            link.drop();
+            link.abandon();
             return;
         }
         up.addListener(done -> {
             if (!done.isSuccess()) {
-                link.drop();
+                link.abandon();
             }
         });
     }
 
-    /** Sends a copy; when its time is up, its connection goes with it. */
-    void ask(ShadowLink link, ShadowRequest ask) {
+    /** Sends a copy; when it times out, its connection is closed. */
+    void send(ShadowLink link, ShadowRequest request) {
         double now = now();
-        ask.sent(
+        request.sent(
                 now,
-                link.isSteady(),
+                link.isWarm(),
                 loop.schedule(
                         () -> {
-                            ask.end(Api.Outcome.TIMEOUT, now());
-                            link.drop();
+                            request.complete(Api.Outcome.TIMEOUT, now());
+                            link.abandon();
                         },
-                        (long) (ask.timeout() * 1e6),
+                        (long) (request.timeout() * 1e6),
                         TimeUnit.MICROSECONDS));
-        link.ask(ask);
+        link.send(request);
     }
 
-    /** Whether a copy is out. */
+    /** Returns whether a copy is in flight. */
     boolean isBusy() {
         return links.stream().anyMatch(ShadowLink::isBusy);
     }
@@ -118,18 +124,18 @@
         return links.size();
     }
 
-    /** Gives back what is of no use, and all connections to servers that must not be asked. */
-    void sweep(java.util.function.LongPredicate mayAsk) {
+    /** Closes idle links and all links to servers that must not be queried. */
+    void closeUnused(java.util.function.LongPredicate mayQuery) {
         double now = now();
         for (ShadowLink link : new ArrayList<>(links)) {
-            if (!mayAsk.test(link.server()) || !link.isBusy() && now - link.usedAt() > idleMost) {
-                link.drop();
+            if (!mayQuery.test(link.server()) || !link.isBusy() && now - link.usedAt() > maxIdleSeconds) {
+                link.abandon();
             }
         }
     }
 
-    void dropAll() {
-        new ArrayList<>(links).forEach(ShadowLink::drop);
+    void closeAll() {
+        new ArrayList<>(links).forEach(ShadowLink::abandon);
     }
 
     @Override
--- a/router/src/main/java/stagepier/shadow/ShadowMessages.java
+++ b/router/src/main/java/stagepier/shadow/ShadowMessages.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What routers say to each other about the shadow. */
+/** The messages that routers exchange about the shadow. */
 final class ShadowMessages {
-    /** Characters of counts in one message, so that it stays below what a message may hold. */
-    static final int COUNTS_MOST = 32_000;
+    /** Maximum characters of counts in one message, which keeps it below the limit for messages. */
+    static final int MAX_COUNTS_LENGTH = 32_000;
 
     static final String SYNC_REQUEST = "shadow.ask";
     static final String SYNC_RESPONSE = "shadow.known";
@@ -17,23 +17,24 @@
     private ShadowMessages() {}
 
     /**
-     * Asks for what one lacks.
+     * Requests what the sender is missing.
      *
-     * @param map     id of the candidate, "" for none
-     * @param version of it
-     * @param knows   of the counts of this candidate: the highest sequence by router and incarnation
+     * @param map id of the candidate, "" for none
+     * @param version version of the candidate
+     * @param knows highest known sequence number of this candidate's counts, by router and incarnation
      */
     record SyncRequest(String map, long version, Map<String, Map<Long, Long>> knows) {}
 
     /**
-     * The reply to that.
+     * The response to a {@link SyncRequest}.
      *
-     * @param text     of the candidate where the one that asks has an older one or none; "" otherwise
-     * @param stopped  why the candidate was stopped, "" where it was not
+     * @param text canonical text of the candidate if the requester has an older one or none; "" otherwise
+     * @param stopped reason why the candidate was stopped, "" if it was not
      * @param caughtUp see {@link Lease}
-     * @param ages     see {@link Lease}
-     * @param knows    what the one that replies has, so that it can be told the rest
-     * @param counts   that the one that asks lacks
+     * @param ages see {@link Lease}
+     * @param knows sequence numbers known to the responder, so that the requester can send what the responder is
+     *     missing
+     * @param counts counts that the requester is missing
      */
     record SyncResponse(
             String map,
@@ -45,9 +46,9 @@
             Map<String, Map<Long, Long>> knows,
             List<RouterCounts> counts) {}
 
-    /** Tells what the other lacks; the same words as in {@link SyncResponse}. */
+    /** Sends what the receiver is missing; fields as in {@link SyncResponse}. */
     record Update(String map, String text, String stopped, List<RouterCounts> counts) {}
 
-    /** The reply where there is nothing to say. */
+    /** The response without content. */
     record Acknowledgement(String map) {}
 }
--- a/router/src/main/java/stagepier/shadow/ShadowRequest.java
+++ b/router/src/main/java/stagepier/shadow/ShadowRequest.java
@@ -9,21 +9,21 @@
 import stagepier.memcache.Answer;
 import stagepier.memcache.Command;
 
-/** One copy at one cache server. Owns its timer; ends exactly once, here. On the event loop. */
+/** One copy sent to one cache server. Owns its timer and completes exactly once. Used on the event loop. */
 final class ShadowRequest {
     private final String id;
     private final Command command;
     private final double timeout;
     private final Consumer<ExecutionResult> done;
     private Future<?> timer;
-    private boolean steady;
+    private boolean warm;
     private double sentAt;
-    private boolean over;
+    private boolean completed;
 
     /**
-     * @param id      of its own: ids are new for every request
-     * @param command the real one
-     * @param timeout the time that the real one has left, in seconds
+     * @param id id of the copy; ids are unique per request
+     * @param command the real request
+     * @param timeout the time that the real request has left, in seconds
      */
     ShadowRequest(String id, Command command, double timeout, Consumer<ExecutionResult> done) {
         this.id = id;
@@ -36,21 +36,21 @@
         return timeout;
     }
 
-    /** The bytes for the server: the same words with another id and the time that is left. */
+    /** Returns the bytes for the server: the words of the real request with a different id and the remaining time. */
     byte[] message() {
         List<String> words = new ArrayList<>(command.words());
         words.replaceAll(w -> w.charAt(0) == 'O' ? "O" + id : w);
-        // The key is the first word, whatever it begins with.
+        // The key is the first word and may itself start with the letter of the id flag.
         words.set(0, command.key());
         return new Command(command.kind(), List.copyOf(words), command.value())
                 .forward(Math.max(1, Math.round(timeout * 1e3)));
     }
 
-    /** @param steadyLink its connection has served before */
-    void sent(double now, boolean steadyLink, Future<?> ownTimer) {
+    /** @param warmLink the connection has served a request before */
+    void sent(double now, boolean warmLink, Future<?> newTimer) {
         sentAt = now;
-        steady = steadyLink;
-        timer = ownTimer;
+        warm = warmLink;
+        timer = newTimer;
     }
 
     boolean accepts(Answer answer) {
@@ -61,31 +61,31 @@
         };
     }
 
-    void answered(Answer answer, double now) {
+    void onAnswer(Answer answer, double now) {
         switch (answer.kind()) {
-            case BUSY -> end(Api.Outcome.FULL, now);
-            case FAILED -> end(Api.Outcome.ERROR, now);
+            case BUSY -> complete(Api.Outcome.FULL, now);
+            case FAILED -> complete(Api.Outcome.ERROR, now);
             default ->
-                end(new ExecutionResult(
+                complete(new ExecutionResult(
                         Api.Outcome.OK,
                         ResponseInfo.lookup(answer.hit()),
                         answer.flow() > 0 ? 0 : ExecutionResult.checksum(answer.body()),
                         now - sentAt,
-                        steady));
+                        warm));
         }
     }
 
-    void end(Api.Outcome outcome, double now) {
-        end(new ExecutionResult(outcome, Api.Lookup.UNKNOWN, 0, now - sentAt, steady));
+    void complete(Api.Outcome outcome, double now) {
+        complete(new ExecutionResult(outcome, Api.Lookup.UNKNOWN, 0, now - sentAt, warm));
     }
 
-    private void end(ExecutionResult seen) {
-        if (!over) {
-            over = true;
+    private void complete(ExecutionResult result) {
+        if (!completed) {
+            completed = true;
             if (timer != null) {
                 timer.cancel(false);
             }
-            done.accept(seen);
+            done.accept(result);
         }
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowRules.java
+++ b/router/src/main/java/stagepier/shadow/ShadowRules.java
@@ -1,33 +1,41 @@
 package stagepier.shadow;
 
 /**
- * Rules on whether a copy of a request is sent. Pure: all that counts is passed in. Owns this router's shares of the two budgets.
+ * Decides whether a copy of a request is sent. Pure: all inputs are parameters. Owns this router's shares of the two
+ * budgets.
  */
 public final class ShadowRules {
-    /** Never with this part of a request's time left, or less. */
-    static final double TIME_LEFT = 0.25;
-    /** Seconds after a refusal in which nothing is copied. */
-    static final double AFTER_REFUSAL = 1;
+    /** Fraction of a request's time; no copy is sent if this much or less is left. */
+    static final double MIN_TIME_LEFT_FRACTION = 0.25;
+    /** Seconds after a refusal by this router during which nothing is copied. */
+    static final double REFUSAL_PAUSE_SECONDS = 1;
 
     /**
-     * A request whose real execution was sent.
+     * A real request that may be copied.
      *
-     * @param repeatable of a class that may run any number of times
-     * @param attempt    0 for the first
-     * @param sent       the real execution has been handed to its socket
-     * @param whole      the time that it had, in seconds
-     * @param left       the time that it has
-     * @param first      no copy of the key was answered by the candidate's owner of late: it is likely to fetch
+     * @param repeatable its class may run any number of times
+     * @param attempt 0 for the first
+     * @param sent the real execution has been written to its socket
+     * @param timeout the total time of the request, in seconds
+     * @param timeLeft the remaining time, in seconds
+     * @param first no copy of the key was recently answered by the candidate's owner, which is therefore likely to
+     *     fetch
      */
     public record OriginalRequest(
-            boolean repeatable, boolean write, int attempt, boolean sent, double whole, double left, boolean first) {}
+            boolean repeatable,
+            boolean write,
+            int attempt,
+            boolean sent,
+            double timeout,
+            double timeLeft,
+            boolean first) {}
 
     /**
-     * Where the key belongs.
+     * The servers of a key.
      *
-     * @param sentTo    the server of the real execution
-     * @param present   the owner by the map in use
-     * @param candidate the owner by the candidate
+     * @param sentTo the server of the real execution
+     * @param present the owner according to the map in use
+     * @param candidate the owner according to the candidate
      */
     public record Owners(long sentTo, long present, long candidate) {
         boolean differ() {
@@ -44,44 +52,44 @@
         fetches = new CopyRateLimiter(map.fetches(), fleet);
     }
 
-    /** This router has refused a request. */
-    public void refused(double now) {
+    /** Records that this router has refused a request. */
+    public void recordRefusal(double now) {
         refusedAt = now;
     }
 
-    /** Whether copies have to give way, also those that are out. */
-    public boolean givesWay(double now, boolean ordered, RouterState router) {
-        return !ordered || router.isDraining() || router.isPressed() || now - refusedAt < AFTER_REFUSAL;
+    /** Returns whether copies have to yield to real requests, including the copies in flight. */
+    public boolean mustYield(double now, boolean active, RouterState router) {
+        return !active || router.isDraining() || router.isPressed() || now - refusedAt < REFUSAL_PAUSE_SECONDS;
     }
 
-    /** What holds, the budgets apart. */
-    public CopyDecision rule(
+    /** Decides on a copy, not considering the budgets. */
+    public CopyDecision decide(
             double now,
-            OriginalRequest asked,
+            OriginalRequest request,
             Owners owners,
-            boolean ordered,
+            boolean active,
             RouterState router,
             Eligibility candidate) {
-        if (!asked.repeatable() || asked.write()) {
+        if (!request.repeatable() || request.write()) {
             return CopyDecision.NOT_SAFE;
         }
         if (!owners.differ()) {
             return CopyDecision.NOT_MOVED;
         }
-        if (asked.attempt() > 0 || !asked.sent()) {
+        if (request.attempt() > 0 || !request.sent()) {
             return CopyDecision.NOT_SENT;
         }
-        if (givesWay(now, ordered, router)) {
+        if (mustYield(now, active, router)) {
             return CopyDecision.NOT_NOW;
         }
-        if (asked.left() <= TIME_LEFT * asked.whole()) {
+        if (request.timeLeft() <= MIN_TIME_LEFT_FRACTION * request.timeout()) {
             return CopyDecision.SHORT_OF_TIME;
         }
         return candidate == Eligibility.FIT ? CopyDecision.COPY : CopyDecision.NOT_FIT;
     }
 
-    /** Takes a copy out of the budgets, or says why not. */
-    public CopyDecision afford(double now, boolean first) {
+    /** Takes a copy out of the budgets, or returns why that is not possible. */
+    public CopyDecision reserve(double now, boolean first) {
         if (!copies.has(now)) {
             return CopyDecision.OVER_BUDGET;
         }
@@ -95,8 +103,8 @@
         return CopyDecision.COPY;
     }
 
-    /** A copy that was expected to be found was fetched. */
-    public void fetched(double now) {
+    /** Records an unexpected fetch: the copy of a key that was expected to be cached was fetched from the origin. */
+    public void recordFetch(double now) {
         fetches.spend(now);
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShadowService.java
+++ b/router/src/main/java/stagepier/shadow/ShadowService.java
@@ -23,34 +23,34 @@
 import stagepier.tasks.Tasks;
 
 /**
- * The shadow beside the event loop: takes the candidate from its file or from other routers, merges counts, says what the verdict
- * is, stops a wrong candidate in the whole fleet, and has a good one promoted. One task talks to a random member four times a
- * second, one takes what the loop has counted.
+ * The part of the shadow outside of the event loop: reads the candidate from its file or from other routers, merges
+ * counts, determines the verdict, stops a wrong candidate in the whole fleet and promotes a good one. One task
+ * synchronizes with a random member four times a second; another merges the counts from the event loop.
  */
 public final class ShadowService implements FleetService {
     private static final Logger LOG = LoggerFactory.getLogger(ShadowService.class);
-    private static final Duration PAUSE = Duration.ofMillis(250);
-    private static final Duration STEP_LOOK = Duration.ofMillis(100);
-    private static final Duration CALL_MOST = Duration.ofMillis(500);
-    /** Members that are told of a stop at once, by each router that hears of it first. */
-    private static final int STOP_TOLD = 16;
-
-    private static final int STOP_TRIES = 3;
-    private static final int BOX = 4;
-    /** Turns after which the lines for staff are put together anew. */
-    private static final int LINES_EVERY = 4;
-    /** Every so many-th talk is with any member, also one that is held to be gone. */
-    private static final int ANYONE = 4;
+    private static final Duration SYNC_INTERVAL = Duration.ofMillis(250);
+    private static final Duration STEP_CHECK_INTERVAL = Duration.ofMillis(100);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
+    /** Number of members to which each router sends a stop when it first learns of it, and the attempts per member. */
+    private static final int STOP_RECIPIENTS = 16;
+
+    private static final int STOP_ATTEMPTS = 3;
+    private static final int COUNTS_MAILBOX_CAPACITY = 4;
+    /** Rounds between two updates of the status lines. */
+    private static final int STATUS_INTERVAL_ROUNDS = 4;
+    /** In every fourth round, any member may be selected, also one that is considered dead. */
+    private static final int ANY_MEMBER_INTERVAL_ROUNDS = 4;
 
     /**
-     * What it works with.
+     * The dependencies of the service.
      *
-     * @param incarnation of this process, above 0 and never used by another of its name
-     * @param agreement   null where nothing can be promoted
-     * @param members     the list of cache servers as it is now
-     * @param sizes       whether weights on that list are sizes
-     * @param zones       their names, by index
-     * @param kinds       their names, by index
+     * @param incarnation incarnation of this process, above 0 and never used by another process of the same name
+     * @param agreement null if promotions are not available
+     * @param members the current list of cache servers
+     * @param sizes whether the weights on that list are sizes
+     * @param zones names of the zones, by index
+     * @param kinds names of the kinds, by index
      */
     public record Parts(
             Tasks tasks,
@@ -69,16 +69,16 @@
     private final Parts parts;
     private final Tasks tasks;
     private final ShadowState state;
-    private final Mailbox<Counts.Snapshot> counted;
+    private final Mailbox<Counts.Snapshot> countsMailbox;
     private final Promotion promotion;
     private final Random random;
-    private volatile ShadowPlan orders;
-    private volatile String wish = "";
+    private volatile ShadowPlan plan;
+    private volatile String promotionResult = "";
     private volatile List<Api.Member> ringMembers;
-    private volatile String foretold = "";
+    private volatile String predicted = "";
     private volatile Api.PromotedRing promoted;
     private int share;
-    private volatile List<String> lines = List.of("shadow: no candidate");
+    private volatile List<String> statusLines = List.of("shadow: no candidate");
 
     public ShadowService(Parts parts) {
         this.parts = parts;
@@ -88,22 +88,22 @@
                 parts.incarnation(),
                 parts.config().members().size(),
                 parts.config().lease().toNanos());
-        counted = tasks.mailbox(BOX);
+        countsMailbox = tasks.mailbox(COUNTS_MAILBOX_CAPACITY);
         random = new Random(parts.config().self().hashCode() * 31L + parts.incarnation());
-        Duration lead = parts.config().lease().plus(parts.config().skew()).plus(Duration.ofSeconds(1));
+        Duration leadTime = parts.config().lease().plus(parts.config().skew()).plus(Duration.ofSeconds(1));
         promotion = parts.agreement() == null
                 ? null
-                : new Promotion(tasks, parts.agreement(), parts.calendar(), parts.view(), lead, parts.history());
+                : new Promotion(tasks, parts.agreement(), parts.calendar(), parts.view(), leadTime, parts.history());
     }
 
     @Override
     public void start() {
-        parts.calls().answer("shadow", this::answer);
+        parts.calls().answer("shadow", this::handle);
         tasks.start("shadow-file", () -> readFile(false));
-        tasks.start("shadow-talk", this::talk);
-        tasks.start("shadow-counts", this::count);
+        tasks.start("shadow-talk", this::runSynchronization);
+        tasks.start("shadow-counts", this::runCounts);
         if (promotion != null) {
-            tasks.start("shadow-steps", this::step);
+            tasks.start("shadow-steps", this::runPromotionSteps);
         }
     }
 
@@ -112,53 +112,59 @@
         tasks.start("shadow-file", () -> readFile(true));
     }
 
-    /** What the event loop may do now; null before anything is known. From any thread. */
+    /** Returns the current plan for the event loop; null before a candidate is known. May be called from any thread. */
     public ShadowPlan orders() {
-        return orders;
+        return plan;
     }
 
-    /** From the event loop; never waits. */
+    /** Takes counts from the event loop; never blocks. */
     public boolean counted(Counts.Snapshot snapshot) {
-        return counted.put(snapshot);
+        return countsMailbox.put(snapshot);
     }
 
-    /** Version of the candidate that is held, for the view; 0 for none. */
+    /** Returns the version of the current candidate, for the view; 0 for none. */
     public long version() {
         CandidateMap map = state.map();
         return map == null ? 0 : map.version();
     }
 
-    /** The ring that part of the keys has been given to, for the module; null for none. From any thread. */
+    /**
+     * Returns the ring that serves part of the keys, for the routing module; null for none. May be called from any
+     * thread.
+     */
     public Api.PromotedRing promoted() {
         return promoted;
     }
 
-    /** Looks for the next step of a promotion. */
-    private void step() throws InterruptedException {
+    /** Runs the steps of promotions. */
+    private void runPromotionSteps() throws InterruptedException {
         for (; ; ) {
-            tasks.sleep(STEP_LOOK);
-            int now = promotion.share();
+            tasks.sleep(STEP_CHECK_INTERVAL);
+            int now = promotion.updateShare();
             if (now != share) {
                 share = now;
                 CandidateMap map = promotion.map();
                 promoted = now == 0 ? null : ShardRing.of(map).promoted(new Slice(map.salt()), now);
-                LOG.info("candidate {} serves {} of 10000 keys", map.id(), now);
+                LOG.info("candidate {} now serves {} of every 10000 keys on this router", map.id(), now);
             }
         }
     }
 
-    /** Parts per ten thousand of the keys that the promoted candidate serves here. */
+    /** Returns the share of the keys that the promoted candidate serves on this router, in parts per ten thousand. */
     public int share() {
-        return promotion == null ? 0 : promotion.share();
+        return promotion == null ? 0 : promotion.updateShare();
     }
 
-    // ---- the file -----------------------------------------------------------------------------------------
-    /** @param wishes whether what staff want done is done: not at a start, or each one would ask for it again */
-    private void readFile(boolean wishes) throws InterruptedException {
+    // ---- candidate file -----------------------------------------------------------------------------------
+    /**
+     * @param applyDesiredState whether to carry out the requested action; false at the start, since every restart would
+     *     otherwise request it again
+     */
+    private void readFile(boolean applyDesiredState) throws InterruptedException {
         if (parts.config().candidate() == null) {
             return;
         }
-        CandidateFile.Read read;
+        CandidateFile.Parsed read;
         try {
             read = CandidateFile.read(parts.config().candidate());
         } catch (CandidateException e) {
@@ -170,55 +176,55 @@
             return;
         }
         try {
-            take(read.map());
+            adopt(read.map());
         } catch (IllegalStateException e) {
             LOG.error("{}: line 1: key version: {}", parts.config().candidate(), e.getMessage());
             return;
         }
-        if (wishes && promotion != null && read.wish() != CandidateFile.DesiredState.TRY) {
-            wish = read.wish() == CandidateFile.DesiredState.PROMOTE
+        if (applyDesiredState && promotion != null && read.desiredState() != CandidateFile.DesiredState.TRY) {
+            promotionResult = read.desiredState() == CandidateFile.DesiredState.PROMOTE
                     ? promotion.promote(
                             read.map(), state.verdict(parts.view().get().majority()), state.stopped())
-                    : promotion.back();
-            LOG.info("{}", wish);
-            parts.history().write("promotion.asked", "wish", read.wish().name(), "what", wish);
+                    : promotion.rollBack();
+            LOG.info("{}", promotionResult);
+            parts.history().write("promotion.asked", "wish", read.desiredState().name(), "what", promotionResult);
         }
     }
 
-    /** Takes a candidate as from a file. */
-    void take(CandidateMap map) {
+    /** Adopts a candidate as if it had been read from a file. */
+    void adopt(CandidateMap map) {
         CandidateMap held = state.map();
-        if (state.take(map)) {
-            candidateTaken();
+        if (state.adopt(map)) {
+            onCandidateAdopted();
         } else if (!map.id().equals(held.id())) {
             throw new IllegalStateException("candidate " + held.id() + " is held, which is newer: raise the version");
         }
-        order();
+        updatePlan();
     }
 
-    private void candidateTaken() {
-        LOG.info("candidate {} is tried", state.id());
+    private void onCandidateAdopted() {
+        LOG.info("adopted candidate {} for comparison with real requests", state.id());
         parts.history().write("shadow.map", "map", state.id());
     }
 
-    // ---- talk ---------------------------------------------------------------------------------------------
-    private void talk() throws InterruptedException {
-        for (int turn = 0; ; turn++) {
-            tasks.sleep(PAUSE);
-            String member = other(turn);
+    // ---- synchronization with other routers ---------------------------------------------------------------
+    private void runSynchronization() throws InterruptedException {
+        for (int round = 0; ; round++) {
+            tasks.sleep(SYNC_INTERVAL);
+            String member = selectMember(round);
             if (member != null) {
-                exchange(member);
+                syncWith(member);
             }
-            order();
-            if (turn % LINES_EVERY == 0) {
-                lines = lines();
-                tellHistory();
+            updatePlan();
+            if (round % STATUS_INTERVAL_ROUNDS == 0) {
+                statusLines = buildStatus();
+                writeCountsToHistory();
             }
         }
     }
 
-    /** What this router has merged, for whoever checks it against what was sent. */
-    private void tellHistory() {
+    /** Writes the merged counts to the history, where a checker compares them with the copies that were sent. */
+    private void writeCountsToHistory() {
         List<String> counts = new ArrayList<>();
         long total = 0;
         for (RouterCounts c : state.counts()) {
@@ -240,90 +246,92 @@
         }
     }
 
-    private String other(int turn) {
-        List<String> others = others();
-        if (turn % ANYONE != 0) {
+    private String selectMember(int round) {
+        List<String> others = otherMembers();
+        if (round % ANY_MEMBER_INTERVAL_ROUNDS != 0) {
             FleetView view = parts.view().get();
-            List<String> there = others.stream()
+            List<String> alive = others.stream()
                     .filter(o -> view.member(o).map(FleetView.Member::counts).orElse(true))
                     .toList();
-            others = there.isEmpty() ? others : there;
+            others = alive.isEmpty() ? others : alive;
         }
-        return others.isEmpty() ? null : others.get(draw(others.size()));
+        return others.isEmpty() ? null : others.get(randomIndex(others.size()));
     }
 
-    private List<String> others() {
+    private List<String> otherMembers() {
         List<String> others = new ArrayList<>(parts.config().members().keySet());
         others.remove(parts.config().self());
         return others;
     }
 
-    private synchronized int draw(int bound) {
+    private synchronized int randomIndex(int bound) {
         return random.nextInt(bound);
     }
 
-    private void exchange(String member) throws InterruptedException {
+    private void syncWith(String member) throws InterruptedException {
         try {
-            String before = state.id();
-            long began = tasks.nanoTime();
-            ShadowMessages.SyncResponse known = parts.calls()
-                    .call(member, Message.of(ShadowMessages.SYNC_REQUEST, state.ask()), CALL_MOST)
+            String idBefore = state.id();
+            long callStarted = tasks.nanoTime();
+            ShadowMessages.SyncResponse response = parts.calls()
+                    .call(member, Message.of(ShadowMessages.SYNC_REQUEST, state.syncRequest()), CALL_TIMEOUT)
                     .read(ShadowMessages.SyncResponse.class);
-            boolean stop = state.merge(member, began, known);
-            news(before, stop);
-            ShadowMessages.Update lacked = state.lackedBy(known);
-            if (lacked != null) {
-                parts.calls().call(member, Message.of(ShadowMessages.UPDATE, lacked), CALL_MOST);
+            boolean stoppedNow = state.mergeResponse(member, callStarted, response);
+            applyChanges(idBefore, stoppedNow);
+            ShadowMessages.Update missing = state.missingFrom(response);
+            if (missing != null) {
+                parts.calls().call(member, Message.of(ShadowMessages.UPDATE, missing), CALL_TIMEOUT);
             }
         } catch (FleetRpc.NoReplyException e) {
-            // Another one next time.
+            // The next round selects a member again.
             LOG.debug("{}", e.getMessage());
         } catch (Message.MalformedException e) {
-            LOG.warn("{} said what makes no sense: {}", member, e.getMessage());
+            LOG.warn("malformed shadow message from router {}; synchronization aborted: {}", member, e.getMessage());
         }
     }
 
-    private void news(String idBefore, boolean stop) {
+    private void applyChanges(String idBefore, boolean stoppedNow) {
         if (!state.id().equals(idBefore)) {
-            candidateTaken();
+            onCandidateAdopted();
         }
-        if (stop) {
-            stopped();
+        if (stoppedNow) {
+            onStopped();
         }
-        order();
+        updatePlan();
     }
 
-    /** Called by others; waits for nobody. */
-    private Message answer(String from, Message call) throws Message.MalformedException {
-        String before = state.id();
+    /** Handles a message from another router; never blocks. */
+    private Message handle(String from, Message call) throws Message.MalformedException {
+        String idBefore = state.id();
         switch (call.kind()) {
             case ShadowMessages.SYNC_REQUEST:
                 return Message.of(
                         ShadowMessages.SYNC_RESPONSE,
-                        state.answer(call.read(ShadowMessages.SyncRequest.class), tasks.nanoTime()));
+                        state.syncResponse(call.read(ShadowMessages.SyncRequest.class), tasks.nanoTime()));
             case ShadowMessages.UPDATE, ShadowMessages.STOP:
-                news(before, state.apply(call.read(ShadowMessages.Update.class)));
+                applyChanges(idBefore, state.applyUpdate(call.read(ShadowMessages.Update.class)));
                 return Message.of(ShadowMessages.ACKNOWLEDGEMENT, new ShadowMessages.Acknowledgement(state.id()));
             default:
-                throw new Message.MalformedException("no word of the shadow: " + call.kind());
+                throw new Message.MalformedException("unknown kind of shadow message: " + call.kind());
         }
     }
 
-    /** The candidate has just been stopped, here or elsewhere: orders first, then others are told at once. */
-    private void stopped() {
-        order();
-        LOG.warn("candidate {} is stopped: {}", state.id(), state.stopped());
+    /**
+     * Handles a stop of the candidate, detected here or received: updates the plan first, then notifies other routers.
+     */
+    private void onStopped() {
+        updatePlan();
+        LOG.warn("candidate {} stopped, no more copies are sent: {}", state.id(), state.stopped());
         parts.history().write("shadow.stopped", "map", state.id(), "why", state.stopped());
-        Message word = Message.of(ShadowMessages.STOP, state.stopWord());
-        List<String> others = others();
+        Message message = Message.of(ShadowMessages.STOP, state.stopMessage());
+        List<String> others = otherMembers();
         synchronized (this) {
             Collections.shuffle(others, random);
         }
-        for (String member : others.subList(0, Math.min(STOP_TOLD, others.size()))) {
+        for (String member : others.subList(0, Math.min(STOP_RECIPIENTS, others.size()))) {
             tasks.start("shadow-stop", () -> {
-                for (int i = 0; i < STOP_TRIES; i++) {
+                for (int i = 0; i < STOP_ATTEMPTS; i++) {
                     try {
-                        parts.calls().call(member, word, CALL_MOST);
+                        parts.calls().call(member, message, CALL_TIMEOUT);
                         return;
                     } catch (FleetRpc.NoReplyException e) {
                         LOG.debug("{}", e.getMessage());
@@ -333,12 +341,12 @@
         }
     }
 
-    // ---- counts and orders --------------------------------------------------------------------------------
-    private void count() throws InterruptedException {
+    // ---- counts and plan ----------------------------------------------------------------------------------
+    private void runCounts() throws InterruptedException {
         for (; ; ) {
-            Counts.Snapshot snapshot = counted.take(Duration.ofSeconds(1));
+            Counts.Snapshot snapshot = countsMailbox.take(Duration.ofSeconds(1));
             if (snapshot != null) {
-                boolean stop = state.counted(parts.view().get().epoch(), snapshot);
+                boolean stoppedNow = state.recordOwnCounts(parts.view().get().epoch(), snapshot);
                 parts.history()
                         .write(
                                 "shadow.counts",
@@ -354,86 +362,87 @@
                                 snapshot.counter(ComparisonResult.WRONG.counter()),
                                 "epoch",
                                 parts.view().get().epoch());
-                if (stop) {
-                    stopped();
+                if (stoppedNow) {
+                    onStopped();
                 }
             }
         }
     }
 
-    /** Puts together what holds now. */
-    private synchronized void order() {
+    /** Builds the current plan. */
+    private synchronized void updatePlan() {
         CandidateMap map = state.map();
         if (map == null) {
             return;
         }
-        ShadowPlan had = orders;
+        ShadowPlan previous = plan;
         List<Api.Member> members = parts.members().get();
-        boolean sameMap = had != null && had.map().equals(map);
-        Slice slice = sameMap ? had.slice() : new Slice(map.salt());
-        ShardRing ring = sameMap ? had.ring() : ShardRing.of(map);
+        boolean sameMap = previous != null && previous.map().equals(map);
+        Slice slice = sameMap ? previous.slice() : new Slice(map.salt());
+        ShardRing ring = sameMap ? previous.ring() : ShardRing.of(map);
         ShardRing present =
-                had != null && members == ringMembers ? had.present() : ShardRing.of(members, parts.sizes());
-        if (had == null || had.ring() != ring || had.present() != present) {
-            foretold = RingDifference.of(present, ring).describe(members, parts.zones(), parts.kinds());
+                previous != null && members == ringMembers ? previous.present() : ShardRing.of(members, parts.sizes());
+        if (previous == null || previous.ring() != ring || previous.present() != present) {
+            predicted = RingDifference.of(present, ring).describe(members, parts.zones(), parts.kinds());
         }
         ringMembers = members;
         boolean on = parts.view().get().majority() && state.stopped().isEmpty() && share() == 0;
-        long until = state.until(tasks.nanoTime());
-        if (had != null && had.on() != on) {
+        long expiresAt = state.leaseEnd(tasks.nanoTime());
+        if (previous != null && previous.on() != on) {
             parts.history().write("shadow.on", "map", map.id(), "on", on ? 1 : 0);
         }
-        orders = new ShadowPlan(
-                sameMap ? had.map() : map,
+        plan = new ShadowPlan(
+                sameMap ? previous.map() : map,
                 slice,
                 ring,
                 present,
                 parts.config().members().size(),
-                until,
+                expiresAt,
                 on);
     }
 
-    // ---- for staff ----------------------------------------------------------------------------------------
-    /** As of a second ago: who asks may be the event loop. */
+    // ---- status for operators -----------------------------------------------------------------------------
+    /** Returns status lines that are up to a second old, since the caller may be the event loop. */
     @Override
     public List<String> status() {
-        return lines;
+        return statusLines;
     }
 
-    private List<String> lines() {
+    private List<String> buildStatus() {
         CandidateMap map = state.map();
         if (map == null) {
             return List.of("shadow: no candidate");
         }
         List<String> all = new ArrayList<>();
-        ShadowPlan now = orders;
+        ShadowPlan current = plan;
         FleetView view = parts.view().get();
-        String how = !state.stopped().isEmpty()
+        String condition = !state.stopped().isEmpty()
                 ? "stopped: " + state.stopped()
                 : !view.majority()
                         ? "waits: in no majority"
-                        : now == null || !now.holdAt(tasks.nanoTime())
+                        : current == null || !current.isActiveAt(tasks.nanoTime())
                                 ? "waits: not enough routers heard of late"
                                 : "on";
-        all.add("shadow: candidate " + state.id() + " " + how + ", slice " + map.slice() + " of 10000, heard of "
-                + state.routersHeard() + " of " + parts.config().members().size() + " routers, epoch " + view.epoch());
+        all.add("shadow: candidate " + state.id() + " " + condition + ", slice " + map.slice() + " of 10000, heard of "
+                + state.routersWithScores() + " of " + parts.config().members().size() + " routers, epoch "
+                + view.epoch());
         all.add("shadow verdict: " + state.verdict(view.majority()).describe());
         StringBuilder sums = new StringBuilder("shadow counts:");
         state.sums()
                 .forEach((name, n) -> sums.append(' ').append(name).append('=').append(n));
         all.add(sums.toString());
-        all.addAll(times());
-        if (!foretold.isEmpty()) {
-            all.add("shadow foretells: " + foretold);
+        all.addAll(buildTimeLines());
+        if (!predicted.isEmpty()) {
+            all.add("shadow foretells: " + predicted);
         }
         if (promotion != null) {
-            all.add(promotion.describe() + (wish.isEmpty() ? "" : " (" + wish + ")"));
+            all.add(promotion.describe() + (promotionResult.isEmpty() ? "" : " (" + promotionResult + ")"));
         }
         return all;
     }
 
-    private List<String> times() {
-        List<String> words = new ArrayList<>();
+    private List<String> buildTimeLines() {
+        List<String> timeLines = new ArrayList<>();
         List<RouterCounts> all = state.counts();
         all.stream()
                 .flatMap(c -> c.times().keySet().stream())
@@ -445,21 +454,24 @@
                         try {
                             c.addTimes(which, h);
                         } catch (DataFormatException | IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-                            LOG.warn("times of {} cannot be read: {}", c.router(), e.getMessage());
+                            LOG.warn(
+                                    "cannot decode a time histogram of router {}; leaving it out: {}",
+                                    c.router(),
+                                    e.getMessage());
                         }
                     }
-                    words.add("shadow times of " + which + ": n " + h.getTotalCount() + ", p50 "
+                    timeLines.add("shadow times of " + which + ": n " + h.getTotalCount() + ", p50 "
                             + h.getValueAtPercentile(50) + " us, p99 " + h.getValueAtPercentile(99) + " us");
                 });
-        return words;
+        return timeLines;
     }
 
-    /** Null where nothing can be promoted. */
+    /** Returns null if promotions are not available. */
     Promotion promotion() {
         return promotion;
     }
 
-    /** What is known, for tests and the lab. */
+    /** Returns the state, for tests. */
     ShadowState state() {
         return state;
     }
--- a/router/src/main/java/stagepier/shadow/ShadowState.java
+++ b/router/src/main/java/stagepier/shadow/ShadowState.java
@@ -6,8 +6,8 @@
 import stagepier.fleet.Message;
 
 /**
- * What one router knows of the shadow: the candidate, whether it was stopped, all counts heard, and the lease. Tasks share it; it
- * waits for nobody. Nothing here reads a clock.
+ * What one router knows of the shadow: the candidate, whether it was stopped, all counts received, and the lease.
+ * Shared by the tasks; never blocks and reads no clock.
  */
 final class ShadowState {
     private final String self;
@@ -21,7 +21,7 @@
 
     /**
      * @param fleet number of configured routers
-     * @param lease nanoseconds
+     * @param lease length of the lease in nanoseconds
      */
     ShadowState(String self, long incarnation, int fleet, long lease) {
         this.self = self;
@@ -30,15 +30,15 @@
         this.lease = new Lease(self, fleet / 2 + 1, lease);
     }
 
-    /** Takes a candidate, from a file or from another router; returns whether it counts from now on. */
-    synchronized boolean take(CandidateMap candidate) {
+    /** Adopts a candidate from a file or from another router if it takes precedence; returns whether it does. */
+    synchronized boolean adopt(CandidateMap candidate) {
         if (!candidate.replaces(map)) {
             return false;
         }
         map = candidate;
         id = candidate.id();
         stopped = "";
-        // What was counted of another map says nothing of this one.
+        // The counts of another map do not apply to this one.
         merged.clear();
         return true;
     }
@@ -55,34 +55,36 @@
         return stopped;
     }
 
-    /** What this process has counted itself; returns whether that has stopped the candidate just now. */
-    synchronized boolean counted(long epoch, Counts.Snapshot snapshot) {
-        return snapshot.map().equals(id) && take(RouterCounts.of(self, incarnation, epoch, snapshot));
+    /** Merges the counts of this process; returns whether they have just caused the candidate to be stopped. */
+    synchronized boolean recordOwnCounts(long epoch, Counts.Snapshot snapshot) {
+        return snapshot.map().equals(id) && mergeCounts(RouterCounts.of(self, incarnation, epoch, snapshot));
     }
 
-    private boolean take(RouterCounts counts) {
-        return merged.take(counts)
+    private boolean mergeCounts(RouterCounts counts) {
+        return merged.merge(counts)
                 && counts.counter(ComparisonResult.WRONG.counter()) > 0
                 && stop("wrong answers, seen by " + counts.router());
     }
 
     private boolean stop(String why) {
-        boolean news = stopped.isEmpty() && !why.isEmpty();
-        stopped = news ? why : stopped;
-        return news;
+        boolean stoppedNow = stopped.isEmpty() && !why.isEmpty();
+        stopped = stoppedNow ? why : stopped;
+        return stoppedNow;
     }
 
-    synchronized ShadowMessages.SyncRequest ask() {
+    synchronized ShadowMessages.SyncRequest syncRequest() {
         return new ShadowMessages.SyncRequest(id, map == null ? 0 : map.version(), merged.known());
     }
 
-    synchronized ShadowMessages.SyncResponse answer(ShadowMessages.SyncRequest ask, long now)
+    synchronized ShadowMessages.SyncResponse syncResponse(ShadowMessages.SyncRequest request, long now)
             throws Message.MalformedException {
-        if (ask.map() == null || ask.knows() == null || ask.knows().values().contains(null)) {
-            throw new Message.MalformedException("an ask without a map or what is known");
+        if (request.map() == null
+                || request.knows() == null
+                || request.knows().values().contains(null)) {
+            throw new Message.MalformedException("sync request without candidate id or known sequences");
         }
-        boolean same = ask.map().equals(id);
-        boolean knowsMap = same || map == null || ask.version() > map.version();
+        boolean same = request.map().equals(id);
+        boolean knowsMap = same || map == null || request.version() > map.version();
         return new ShadowMessages.SyncResponse(
                 id,
                 map == null ? 0 : map.version(),
@@ -91,47 +93,50 @@
                 lease.hasCaughtUp(),
                 lease.ages(now),
                 merged.known(),
-                same ? merged.lackedBy(ask.knows(), ShadowMessages.COUNTS_MOST) : List.of());
+                same ? merged.missingFrom(request.knows(), ShadowMessages.MAX_COUNTS_LENGTH) : List.of());
     }
 
-    /** Takes the reply of a member; returns whether that has stopped the candidate just now. */
-    synchronized boolean merge(String member, long callBegan, ShadowMessages.SyncResponse known)
+    /** Merges the response of a member; returns whether it has just caused the candidate to be stopped. */
+    synchronized boolean mergeResponse(String member, long callStarted, ShadowMessages.SyncResponse response)
             throws Message.MalformedException {
-        if (known.knows() == null
-                || known.ages() == null
-                || known.knows().values().contains(null)) {
-            throw new Message.MalformedException("a reply without what is known");
+        if (response.knows() == null
+                || response.ages() == null
+                || response.knows().values().contains(null)) {
+            throw new Message.MalformedException("sync response without known sequences or ages");
         }
-        boolean news = apply(new ShadowMessages.Update(known.map(), known.text(), known.stopped(), known.counts()));
-        // Of whoever tries another map it is not known whether it was told of a stop of this one.
-        if (known.map().equals(id)) {
-            lease.replied(member, callBegan, known.caughtUp(), known.ages());
+        boolean stoppedNow = applyUpdate(
+                new ShadowMessages.Update(response.map(), response.text(), response.stopped(), response.counts()));
+        // A member with a different candidate may not have received a stop of this one, so its response does not extend
+        // the lease.
+        if (response.map().equals(id)) {
+            lease.recordReply(member, callStarted, response.caughtUp(), response.ages());
         }
-        return news;
+        return stoppedNow;
     }
 
-    /** What the member that replied lacks; null for nothing. */
-    synchronized ShadowMessages.Update lackedBy(ShadowMessages.SyncResponse known) {
+    /** Returns what the responding member is missing; null for nothing. */
+    synchronized ShadowMessages.Update missingFrom(ShadowMessages.SyncResponse response) {
         if (map == null) {
             return null;
         }
-        boolean same = known.map().equals(id);
-        List<RouterCounts> counts = same ? merged.lackedBy(known.knows(), ShadowMessages.COUNTS_MOST) : List.of();
-        boolean older = !same && known.version() <= map.version();
-        boolean unaware = same && !stopped.isEmpty() && known.stopped().isEmpty();
+        boolean same = response.map().equals(id);
+        List<RouterCounts> counts =
+                same ? merged.missingFrom(response.knows(), ShadowMessages.MAX_COUNTS_LENGTH) : List.of();
+        boolean older = !same && response.version() <= map.version();
+        boolean unaware = same && !stopped.isEmpty() && response.stopped().isEmpty();
         return counts.isEmpty() && !older && !unaware
                 ? null
                 : new ShadowMessages.Update(id, older ? map.text() : "", stopped, counts);
     }
 
-    /** Returns whether that has stopped the candidate just now. */
-    synchronized boolean apply(ShadowMessages.Update update) throws Message.MalformedException {
+    /** Applies an update; returns whether it has just caused the candidate to be stopped. */
+    synchronized boolean applyUpdate(ShadowMessages.Update update) throws Message.MalformedException {
         if (update.map() == null || update.text() == null || update.stopped() == null || update.counts() == null) {
-            throw new Message.MalformedException("something is missing in what was told");
+            throw new Message.MalformedException("update without candidate id, candidate text, stop reason or counts");
         }
         if (!update.text().isEmpty()) {
             try {
-                take(CandidateFile.parse("from another router", update.text()).map());
+                adopt(CandidateFile.parse("from another router", update.text()).map());
             } catch (CandidateException e) {
                 throw new Message.MalformedException(e.getMessage());
             }
@@ -139,25 +144,25 @@
         if (!update.map().equals(id)) {
             return false;
         }
-        boolean news = stop(update.stopped());
+        boolean stoppedNow = stop(update.stopped());
         for (RouterCounts c : update.counts()) {
-            if (c == null || !c.isWhole()) {
-                throw new Message.MalformedException("counts that are not whole");
+            if (c == null || !c.isValid()) {
+                throw new Message.MalformedException("update with incomplete or oversized counts");
             }
-            // Nobody else knows better what this process has counted.
+            // A received entry for this process cannot be newer than its own counts.
             boolean own = c.router().equals(self) && c.incarnation() == incarnation;
-            news |= !own && c.map().equals(id) && take(c);
+            stoppedNow |= !own && c.map().equals(id) && mergeCounts(c);
         }
-        return news;
+        return stoppedNow;
     }
 
-    synchronized ShadowMessages.Update stopWord() {
+    synchronized ShadowMessages.Update stopMessage() {
         return new ShadowMessages.Update(id, "", stopped, List.of());
     }
 
-    /** Until when copies may be sent, in nanoseconds of {@code Tasks}. */
-    synchronized long until(long now) {
-        return lease.until(now);
+    /** Returns the time until which copies may be sent, in nanoseconds of {@code Tasks}. */
+    synchronized long leaseEnd(long now) {
+        return lease.expiresAt(now);
     }
 
     synchronized SortedMap<String, Long> sums() {
@@ -172,7 +177,7 @@
         return merged.known();
     }
 
-    /** @param majority this router and those that it hears are more than half of the configured ones */
+    /** @param majority this router and the members that it reaches are more than half of the configured ones */
     synchronized Verdict verdict(boolean majority) {
         boolean hasQuorum = map != null && majority && merged.routersWith(Counts.SCORES) > fleet / 2;
         return Verdict.of(
@@ -182,7 +187,7 @@
                 hasQuorum);
     }
 
-    synchronized long routersHeard() {
+    synchronized long routersWithScores() {
         return merged.routersWith(Counts.SCORES);
     }
 }
--- a/router/src/main/java/stagepier/shadow/ShardRing.java
+++ b/router/src/main/java/stagepier/shadow/ShardRing.java
@@ -7,26 +7,26 @@
 import stagepier.HashRing;
 import stagepier.exchange.Ids;
 
-/** A ring as it was made, which tells the owner of a key as the module would. Immutable. */
+/** A hash ring that returns the owner of a key as the routing module does. Immutable. */
 public final class ShardRing {
-    private static final int NODES_USUAL = 100;
-    private static final double WEIGHT_MOST = 8;
+    private static final int DEFAULT_VIRTUAL_NODES = 100;
+    private static final double MAX_WEIGHT = 8;
 
     private final HashRing ring = new HashRing();
     private final List<Long> servers;
 
     private ShardRing(Map<Long, Double> weights, int virtualNodes) {
-        // In the order of ids, so that equal points fall to the same server everywhere.
+        // Added in the order of their ids, so that equal points belong to the same server on all routers.
         servers = new ArrayList<>(weights.keySet().stream().sorted().toList());
         for (int slot = 0; slot < servers.size(); slot++) {
-            double weight = Math.min(WEIGHT_MOST, weights.get(servers.get(slot)));
+            double weight = Math.min(MAX_WEIGHT, weights.get(servers.get(slot)));
             ring.add(slot, servers.get(slot), (int) Math.max(1, Math.rint(virtualNodes * weight)));
         }
-        // A ring is put in order when it is first read: here, for later several threads read it.
+        // A ring sorts itself on the first read. That is done here because several threads read it later.
         ring.owner(0);
     }
 
-    /** The candidate's ring. */
+    /** Returns the ring of a candidate. */
     public static ShardRing of(CandidateMap map) {
         Map<Long, Double> weights = new java.util.HashMap<>();
         map.servers().forEach((name, weight) -> weights.put(Ids.ofServer(name), weight));
@@ -34,33 +34,34 @@
     }
 
     /**
-     * The ring in use, near enough: the module also weighs a machine kind by how fast it answers, which is not seen here.
+     * Returns an approximation of the ring in use. The routing module also weights machine kinds by their response
+     * times, which are not available here.
      *
-     * @param sizes whether weights stand for sizes
+     * @param sizes whether weights are sizes
      */
     public static ShardRing of(List<Api.Member> members, boolean sizes) {
         List<Api.Member> ready =
                 members.stream().filter(m -> m.state() == Api.MemberState.READY).toList();
         double mean = ready.stream().mapToDouble(Api.Member::weight).average().orElse(1);
-        // A power of two near the mean, as the module has it.
-        double usual = mean > 0 ? Math.pow(2, Math.rint(Math.log(mean) / Math.log(2))) : 1;
+        // The routing module uses a power of two near the mean as well.
+        double baseWeight = mean > 0 ? Math.pow(2, Math.rint(Math.log(mean) / Math.log(2))) : 1;
         Map<Long, Double> weights = new java.util.HashMap<>();
-        ready.forEach(m -> weights.put(m.id(), sizes && m.weight() > 0 ? m.weight() / usual : 1));
-        return new ShardRing(weights, NODES_USUAL);
+        ready.forEach(m -> weights.put(m.id(), sizes && m.weight() > 0 ? m.weight() / baseWeight : 1));
+        return new ShardRing(weights, DEFAULT_VIRTUAL_NODES);
     }
 
-    /** The server that a key belongs to; -1 where there is none. */
+    /** Returns the server that owns a key; -1 if there is none. */
     public long owner(long key) {
         int slot = ring.owner(HashRing.mix(key));
         return slot < 0 ? -1 : servers.get(slot);
     }
 
-    /** As the module takes it, for keys whose place is below the share. */
+    /** Returns the ring in the form that the routing module takes, for the keys whose position is below the share. */
     Api.PromotedRing promoted(Slice slice, int share) {
         return new Api.PromotedRing() {
             @Override
             public boolean holds(long key) {
-                return slice.holds(key, share);
+                return slice.contains(key, share);
             }
 
             @Override
--- a/router/src/main/java/stagepier/shadow/StepGate.java
+++ b/router/src/main/java/stagepier/shadow/StepGate.java
@@ -5,31 +5,31 @@
 import stagepier.freeze.Change;
 
 /**
- * The share of keys that this router lets the candidate serve: that of the plan, but no step up is taken while the calendar is
- * not open; it is made good once it is, and a
- * wall clock that is set back takes no key back. Steps down always pass: a rollback goes to what was there before. Not shared
- * between tasks.
+ * The share of the keys that this router lets the candidate serve. It follows the plan, except that a step up is
+ * postponed while the calendar is not open and taken once it is, and that a wall clock that is set back moves no key
+ * back. Steps down are always taken: a rollback returns to the previous map. Not shared between tasks.
  */
 final class StepGate {
     private static final Change PROMOTE = new Change(Change.Kind.PROMOTE, "", "");
 
-    private String plan = "";
+    private String mapText = "";
     private int share;
 
-    /** @return parts per ten thousand */
-    int look(PromotionPlan now, Calendar calendar, Instant wall, long nanoTime) {
-        if (now == null) {
+    /** @return the share in parts per ten thousand */
+    int update(PromotionPlan current, Calendar calendar, Instant wall, long nanoTime) {
+        if (current == null) {
             return share;
         }
-        String map = now.map();
-        if (!map.equals(plan)) {
-            // Another candidate: what the former one had reached is not its own.
+        String map = current.map();
+        if (!map.equals(mapText)) {
+            // The share that an earlier candidate had reached does not apply to this one.
             share = 0;
-            plan = map;
+            mapText = map;
         }
-        int due = now.share(wall.toEpochMilli());
-        if (now.isBack()) {
-            // Never up: one that was held below the others does not follow them first.
+        int due = current.share(wall.toEpochMilli());
+        if (current.isRollback()) {
+            // A rollback never raises the share: a router that was held below the others does not catch up with them
+            // first.
             share = Math.min(share, due);
         } else if (due > share && calendar.ask(PROMOTE, wall, nanoTime).permit() == Calendar.Permit.OPEN) {
             share = due;
--- a/router/src/main/java/stagepier/shadow/Verdict.java
+++ b/router/src/main/java/stagepier/shadow/Verdict.java
@@ -3,48 +3,51 @@
 import java.util.Locale;
 
 /**
- * What the fleet thinks of a candidate: a confidence interval for the mean score of {@link Comparison#score}, good at all times
- * at once, so that it may be looked at whenever one likes.
+ * The fleet's verdict on a candidate: a confidence interval for the mean score of {@link Comparison#score} that is
+ * valid at all times simultaneously, so that it may be evaluated at any time and any number of times.
  *
- * <p>The interval is that of Robbins' normal mixture (Robbins, <i>Statistical methods related to the law of the iterated
- * logarithm</i>, 1970) with the variance seen in place of the true one (Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
- * <i>Time-uniform central limit theory and asymptotic confidence sequences</i>, 2021, theorem 2.2; the test that goes with it is
- * the mixture sequential test of Johari, Pekelis and Walsh, <i>Always valid inference</i>, 2015). The chance that an equal
- * candidate is ever called better or worse is at most {@link #ERROR}. For few scores the variance seen says little: no word
- * before {@link #LEAST} of them.
+ * <p>The interval is that of Robbins' normal mixture (Robbins, <i>Statistical methods related to the law of the
+ * iterated logarithm</i>, 1970) with the sample variance in place of the true one (Waudby-Smith, Arbour, Sinha, Kennedy
+ * and Ramdas, <i>Time-uniform central limit theory and asymptotic confidence sequences</i>, 2021, theorem 2.2; the
+ * corresponding test is the mixture sequential test of Johari, Pekelis and Walsh, <i>Always valid inference</i>, 2015).
+ * The probability that an equal candidate is ever called better or worse is at most {@link #ERROR_PROBABILITY}. The
+ * sample variance of few scores is unreliable, so there is no verdict before {@link #MIN_SCORES} of them.
  *
- * @param copies scores that it rests on
- * @param mean   of the scores: above 0 for a candidate that is slower
- * @param low    end of the interval
- * @param high   end of the interval
+ * @param copies number of scores that the verdict is based on
+ * @param mean mean difference of the scores: above 0 for a slower candidate
+ * @param low lower end of the interval
+ * @param high upper end of the interval
  */
 public record Verdict(Kind kind, long copies, double mean, double low, double high) {
-    /** What may be said. */
+    /** The possible verdicts. */
     public enum Kind {
         BETTER,
         WORSE,
         NO_DIFFERENCE,
         NOT_ENOUGH;
 
-        /** In words, as staff read it. */
+        /** Returns the verdict in words, for operators. */
         public String describe() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
 
-    /** Chance, over all looks together, that an equal candidate is called better or worse. */
-    public static final double ERROR = 0.05;
-    /** What the interval is made for: with the variance seen it is a little too narrow at first. */
-    private static final double MADE_FOR = 0.035;
-    /** Scores of each kind before which nothing is said. */
-    public static final long LEAST = 200;
-    /** Scores for which the interval is about as narrow as one can be that is good at all times. */
-    private static final double BEST_AT = 2000;
+    /** Maximum probability, over all evaluations together, that an equal candidate is called better or worse. */
+    public static final double ERROR_PROBABILITY = 0.05;
+    /**
+     * Error probability for which the interval is computed. It is below {@link #ERROR_PROBABILITY} because the interval
+     * is slightly too narrow at first, when it relies on the sample variance.
+     */
+    private static final double NOMINAL_ERROR = 0.035;
+    /** Minimum number of scores of each kind for a verdict. */
+    public static final long MIN_SCORES = 200;
+    /** Number of scores at which the interval is about as narrow as an always-valid interval can be. */
+    private static final double OPTIMAL_SCORES = 2000;
 
     private static final double RHO_SQUARED =
-            (-2 * Math.log(MADE_FOR) + Math.log(-2 * Math.log(MADE_FOR) + 1)) / BEST_AT;
+            (-2 * Math.log(NOMINAL_ERROR) + Math.log(-2 * Math.log(NOMINAL_ERROR) + 1)) / OPTIMAL_SCORES;
 
-    /** Scores, added up: how many, their sum and that of their squares. */
+    /** Sums over scores: their number, their sum and the sum of their squares. */
     public record Sums(long n, double sum, double squares) {
         double mean() {
             return sum / n;
@@ -56,12 +59,13 @@
     }
 
     /**
-     * @param hasQuorum routers whose scores are in the sums are a majority of the configured ones, and so are those that hear each
-     *               other
-     * @param margin mean, on either side of 0, within which a candidate is no different
+     * @param hasQuorum the routers whose scores are in the sums are a majority of the configured ones, and so are those
+     *     that reach each other
+     * @param margin bound of the mean, on either side of 0, within which a candidate counts as equal
      */
     public static Verdict of(Sums candidate, Sums control, double margin, boolean hasQuorum) {
-        // As so many pairs of one of each: the kind of each copy is drawn, so there are about as many of both.
+        // Evaluated as pairs of one score of each kind. The kind of each copy is drawn at random, so both numbers are
+        // about equal.
         long pairs = Math.min(candidate.n(), control.n());
         long copies = candidate.n() + control.n();
         if (pairs < 2) {
@@ -69,14 +73,15 @@
         }
         double mean = candidate.mean() - control.mean();
         double grown = pairs * RHO_SQUARED + 1;
-        double half = Math.sqrt(2
+        double halfWidth = Math.sqrt(2
                         * (candidate.variance() + control.variance())
                         * grown
                         / RHO_SQUARED
-                        * Math.log(Math.sqrt(grown) / MADE_FOR))
+                        * Math.log(Math.sqrt(grown) / NOMINAL_ERROR))
                 / pairs;
-        Kind kind = hasQuorum && pairs >= LEAST ? kind(mean - half, mean + half, margin) : Kind.NOT_ENOUGH;
-        return new Verdict(kind, copies, mean, mean - half, mean + half);
+        Kind kind =
+                hasQuorum && pairs >= MIN_SCORES ? kind(mean - halfWidth, mean + halfWidth, margin) : Kind.NOT_ENOUGH;
+        return new Verdict(kind, copies, mean, mean - halfWidth, mean + halfWidth);
     }
 
     private static Kind kind(double low, double high, double margin) {
@@ -86,7 +91,7 @@
         return high < 0 ? Kind.BETTER : low > 0 ? Kind.WORSE : Kind.NOT_ENOUGH;
     }
 
-    /** For staff: the verdict, and by how much slower answers are. */
+    /** Returns the verdict and the change of the response time, for operators. */
     public String describe() {
         if (Double.isInfinite(low)) {
             return kind.describe() + " (" + copies + " copies compared)";
--- a/router/src/main/java/stagepier/shadow/package-info.java
+++ b/router/src/main/java/stagepier/shadow/package-info.java
@@ -1,2 +1,2 @@
-/** A candidate shard map that is tried beside the real one, and the fleet's verdict on it. */
+/** Evaluation of a candidate shard map with copies of real requests, the fleet's verdict on it, and its promotion. */
 package stagepier.shadow;
--- a/router/src/test/java/stagepier/shadow/CandidateFileTest.java
+++ b/router/src/test/java/stagepier/shadow/CandidateFileTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void theCanonicalTextIsReadAsTheSameMap() throws CandidateException {
+    void canonicalTextParsesToTheSameMap() throws CandidateException {
         CandidateMap map = good();
         CandidateMap again = CandidateFile.parse("x", map.text()).map();
         assertEquals(map, again);
@@ -50,15 +50,15 @@
     }
 
     @Test
-    void theWishMakesNoOtherCandidateOfIt() throws CandidateException {
-        CandidateFile.Read read = CandidateFile.parse("x", GOOD.replace("step_s", "wish = \"promote\"\nstep_s"));
-        assertEquals(CandidateFile.DesiredState.PROMOTE, read.wish());
+    void desiredStateDoesNotChangeTheCandidateId() throws CandidateException {
+        CandidateFile.Parsed read = CandidateFile.parse("x", GOOD.replace("step_s", "wish = \"promote\"\nstep_s"));
+        assertEquals(CandidateFile.DesiredState.PROMOTE, read.desiredState());
         assertEquals(good().id(), read.map().id());
     }
 
-    /** Two maps of one version: all routers choose the same one, whichever they hear of first. */
+    /** Two maps have the same version: all routers choose the same one, in whichever order they receive them. */
     @Test
-    void ofTwoMapsOneCountsEverywhere() throws CandidateException {
+    void oneOfTwoMapsWithTheSameVersionTakesPrecedence() throws CandidateException {
         CandidateMap a = good();
         CandidateMap b = CandidateFile.parse("x", GOOD.replace("slice = 200", "slice = 300"))
                 .map();
@@ -69,7 +69,10 @@
         assertTrue(newer.replaces(a) && newer.replaces(b) && !a.replaces(newer));
     }
 
-    /** Each bad file: what is replaced by what, and how the one line begins that is the refusal. */
+    /**
+     * Per case: the text of the valid file that is replaced, its replacement, and the beginning of the expected error
+     * line.
+     */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
             version = 3|version = 0|f: line 1: key version: must lie between 1.0 and 1000000000.0
@@ -113,7 +116,7 @@
             weight = 2|zone = "a"|f: line 13: key servers[0].zone: is not known
             weight = 2|margin = 1|f: line 13: key servers[0].margin: is not known
             """)
-    void aBadFileIsRefusedInOneLine(String good, String bad, String line) {
+    void invalidFileIsRejectedWithOneLine(String good, String bad, String line) {
         assertTrue(GOOD.contains(good));
         CandidateException e = assertThrows(
                 CandidateException.class,
@@ -126,7 +129,7 @@
     }
 
     @Test
-    void aMapWithoutServersOrTooLongForAMessageIsRefused() {
+    void mapWithoutServersOrTooLongForAMessageIsRejected() {
         CandidateException none = assertThrows(
                 CandidateException.class,
                 () -> CandidateFile.parse("f", GOOD.substring(0, GOOD.indexOf("[[servers]]"))));
