--- a/router/src/test/java/stagepier/shadow/ComparisonTest.java
+++ b/router/src/test/java/stagepier/shadow/ComparisonTest.java
@@ -26,7 +26,7 @@
     private static final ExecutionResult HIT_A = served(Lookup.HIT, A);
 
     @Test
-    void theFirstCopyOfAMovedKeyIsNoFaultOfTheMap() {
+    void firstCopyOfAMovedKeyDoesNotCountAgainstTheMap() {
         assertEquals(ComparisonResult.MOVED, Comparison.of(HIT_A, served(Lookup.MISS, A), true, 0));
         assertEquals(ComparisonResult.MOVED, Comparison.of(HIT_A, served(Lookup.UNKNOWN, A), true, 0));
         assertEquals(ComparisonResult.SAME, Comparison.of(HIT_A, served(Lookup.HIT, A), true, 0));
@@ -35,51 +35,52 @@
     }
 
     @Test
-    void anotherValueIsOlderOrInDoubt() {
+    void differentValueIsOlderOrInDoubt() {
         assertEquals(ComparisonResult.OLDER, Comparison.of(HIT_A, served(Lookup.HIT, B), false, B));
         assertEquals(ComparisonResult.IN_DOUBT, Comparison.of(HIT_A, served(Lookup.HIT, B), false, 0));
         assertEquals(ComparisonResult.IN_DOUBT, Comparison.of(HIT_A, served(Lookup.MISS, B), true, 0));
     }
 
     @Test
-    void itIsWrongOnlyWhereBothStandByTheirs() {
+    void copyIsWrongOnlyIfBothServersRepeatTheirValues() {
         ExecutionResult copy = served(Lookup.HIT, B);
-        assertEquals(ComparisonResult.WRONG, Comparison.secondLook(HIT_A, copy, HIT_A, copy));
-        assertEquals(ComparisonResult.WRONG, Comparison.secondLook(HIT_A, copy, HIT_A, served(Lookup.HIT, C)));
-        assertEquals(ComparisonResult.NEWER, Comparison.secondLook(HIT_A, copy, copy, copy));
+        assertEquals(ComparisonResult.WRONG, Comparison.recheck(HIT_A, copy, HIT_A, copy));
+        assertEquals(ComparisonResult.WRONG, Comparison.recheck(HIT_A, copy, HIT_A, served(Lookup.HIT, C)));
+        assertEquals(ComparisonResult.NEWER, Comparison.recheck(HIT_A, copy, copy, copy));
         assertEquals(
-                ComparisonResult.NEWER,
-                Comparison.secondLook(HIT_A, copy, served(Lookup.HIT, C), served(Lookup.HIT, C)));
-        assertEquals(ComparisonResult.OLDER, Comparison.secondLook(HIT_A, copy, HIT_A, HIT_A));
-        assertEquals(ComparisonResult.IN_DOUBT, Comparison.secondLook(HIT_A, copy, ended(Outcome.TIMEOUT), copy));
+                ComparisonResult.NEWER, Comparison.recheck(HIT_A, copy, served(Lookup.HIT, C), served(Lookup.HIT, C)));
+        assertEquals(ComparisonResult.OLDER, Comparison.recheck(HIT_A, copy, HIT_A, HIT_A));
+        assertEquals(ComparisonResult.IN_DOUBT, Comparison.recheck(HIT_A, copy, ended(Outcome.TIMEOUT), copy));
     }
 
     @Test
-    void failuresCountTheMostAndWhatWasGivenUpCountsNothing() {
+    void failuresGetTheMaximumScoreAndCancelledCopiesAreNotCompared() {
         ExecutionResult late = ended(Outcome.TIMEOUT);
         assertEquals(ComparisonResult.TIMEOUT, Comparison.of(HIT_A, late, true, 0));
-        assertEquals(Comparison.RATIO_MOST, Comparison.score(ComparisonResult.TIMEOUT, HIT_A, late, true));
+        assertEquals(Comparison.MAX_SCORE, Comparison.score(ComparisonResult.TIMEOUT, HIT_A, late, true));
         assertEquals(ComparisonResult.ERROR, Comparison.of(HIT_A, ended(Outcome.RESET), false, 0));
         assertEquals(ComparisonResult.TURNED_AWAY, Comparison.of(HIT_A, ended(Outcome.FULL), false, 0));
         assertEquals(ComparisonResult.NOT_COMPARED, Comparison.of(HIT_A, ended(Outcome.CANCELLED), false, 0));
         assertEquals(ComparisonResult.REAL_FAILED, Comparison.of(late, HIT_A, false, 0));
-        assertEquals(-Comparison.RATIO_MOST, Comparison.score(ComparisonResult.REAL_FAILED, late, HIT_A, true));
+        assertEquals(-Comparison.MAX_SCORE, Comparison.score(ComparisonResult.REAL_FAILED, late, HIT_A, true));
         assertEquals(ComparisonResult.NOT_COMPARED, Comparison.of(late, late, false, 0));
     }
 
     @Test
-    void timesAreComparedOnlyWhereNothingElseWasWaitedFor() {
+    void timesAreComparedOnlyIfNothingElseWasInFlight() {
         ExecutionResult slow = new ExecutionResult(Outcome.OK, Lookup.HIT, A, 0.02, true);
         assertEquals(Math.log(21.0 / 11), Comparison.score(ComparisonResult.SAME, HIT_A, slow, true), 1e-9);
         assertEquals(-Math.log(21.0 / 11), Comparison.score(ComparisonResult.SAME, slow, HIT_A, true), 1e-9);
         assertEquals(
-                Comparison.RATIO_MOST,
+                Comparison.MAX_SCORE,
                 Comparison.score(
                         ComparisonResult.SAME, HIT_A, new ExecutionResult(Outcome.OK, Lookup.HIT, A, 9, true), true));
         assertTrue(
                 Double.isNaN(Comparison.score(ComparisonResult.SAME, HIT_A, slow, false)),
-                "a connection that has just come up");
+                "a copy on a new connection is scored");
         ExecutionResult behind = new ExecutionResult(Outcome.OK, Lookup.HIT, A, 0.02, false);
-        assertTrue(Double.isNaN(Comparison.score(ComparisonResult.SAME, behind, slow, true)), "behind another answer");
+        assertTrue(
+                Double.isNaN(Comparison.score(ComparisonResult.SAME, behind, slow, true)),
+                "a real request that waited behind another answer is scored");
     }
 }
--- a/router/src/test/java/stagepier/shadow/PromotionTest.java
+++ b/router/src/test/java/stagepier/shadow/PromotionTest.java
@@ -14,36 +14,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import stagepier.freeze.Calendar;
 
-/** From a good verdict to the real map, and back. */
+/** Tests promotion and rollback. */
 @Timeout(60)
 class PromotionTest {
     private static final Verdict GOOD = new Verdict(Verdict.Kind.BETTER, 1000, -0.1, -0.15, -0.05);
     private static final long SKEW = 2000;
-    /** Lease, skew and a second. */
+    /** Seconds from the agreement to the first step: lease, skew and one second. */
     private static final double LEAD = 6;
 
-    /** Steps of 100 and 10,000, 30 s apart. */
+    /** Returns a plan with the steps 100 and 10,000, 30 s apart. */
     private static PromotionPlan plan() {
         return PromotionPlan.of(CandidateFileTest.good(), 1_000_000);
     }
 
-    /** P12: whatever the clocks within the skew, two routers differ only in the keys of one step, and only near its moment. */
+    /**
+     * P12: with clocks within the skew, two routers differ only in the keys of one step, and only within the skew of
+     * its time.
+     */
     @Test
-    void routersDifferOnlyInTheKeysOfAStepAndOnlyNearItsMoment() {
+    void routersDifferOnlyInTheKeysOfOneStepAndOnlyNearItsTime() {
         Random random = new Random(1);
         Slice slice = new Slice("shadow");
         PromotionPlan up = plan();
-        for (PromotionPlan plan : List.of(up, up.back(CandidateFileTest.good(), 1_050_000))) {
+        for (PromotionPlan plan : List.of(up, up.rollback(CandidateFileTest.good(), 1_050_000))) {
             int differed = 0;
             for (int i = 0; i < 50_000; i++) {
                 long key = random.nextLong();
                 long now = 990_000 + random.nextInt(90_000);
                 long other = now + random.nextInt((int) (2 * SKEW)) - SKEW;
-                boolean here = slice.holds(key, plan.share(now));
-                boolean there = slice.holds(key, plan.share(other));
+                boolean here = slice.contains(key, plan.share(now));
+                boolean there = slice.contains(key, plan.share(other));
                 if (here != there) {
                     differed++;
-                    assertTrue(plan.moments().stream().anyMatch(m -> Math.abs(m - now) <= SKEW), "far from a step");
+                    assertTrue(
+                            plan.stepTimes().stream().anyMatch(m -> Math.abs(m - now) <= SKEW),
+                            "routers differ far from the time of a step");
                 }
             }
             assertTrue(differed > 0);
@@ -51,7 +56,7 @@
     }
 
     @Test
-    void noKeyGoesBackBeforeARollbackAndNoneForthInOne() {
+    void shareOnlyRisesInAPromotionAndOnlyFallsInARollback() {
         PromotionPlan up = plan();
         int last = 0;
         for (long t = 990_000; t < 1_100_000; t += 100) {
@@ -59,18 +64,21 @@
             last = up.share(t);
         }
         assertEquals(10_000, last);
-        PromotionPlan back = up.back(CandidateFileTest.good(), 1_100_000);
+        PromotionPlan back = up.rollback(CandidateFileTest.good(), 1_100_000);
         for (long t = 1_000_000; t < 1_200_000; t += 100) {
             assertTrue(back.share(t) <= last);
             last = back.share(t);
         }
         assertEquals(0, last);
-        assertTrue(back.isBack() && !up.isBack());
-        assertEquals(100, up.back(CandidateFileTest.good(), 1_010_000).share(1_009_999), "from half-way");
+        assertTrue(back.isRollback() && !up.isRollback());
+        assertEquals(
+                100,
+                up.rollback(CandidateFileTest.good(), 1_010_000).share(1_009_999),
+                "share before the rollback of a partial promotion");
     }
 
     @Test
-    void aPlanTravelsAndNonsenseIsRefused() {
+    void planSurvivesSerializationAndInvalidTextIsRejected() {
         assertEquals(plan(), PromotionPlan.parse(plan().text()));
         for (String bad : List.of(
                 "",
@@ -84,25 +92,25 @@
         }
     }
 
-    /** Asks for a promotion on a task of the first router. */
+    /** Requests a promotion on a task of the first router and returns the result. */
     private static String promote(ShadowFleet fleet, Verdict verdict, String stopped) {
-        AtomicReference<String> said = new AtomicReference<>();
+        AtomicReference<String> result = new AtomicReference<>();
         ShadowFleet.Router r = fleet.router(0);
         r.node.start(
                 "promote",
-                () -> said.set(r.part.promotion().promote(r.part.state().map(), verdict, stopped)));
-        assertTrue(fleet.world.runUntil(() -> said.get() != null, Duration.ofSeconds(10)));
-        return said.get();
+                () -> result.set(r.service.promotion().promote(r.service.state().map(), verdict, stopped)));
+        assertTrue(fleet.world.runUntil(() -> result.get() != null, Duration.ofSeconds(10)));
+        return result.get();
     }
 
     private static void assertShares(ShadowFleet fleet, int share) {
-        fleet.live().forEach(r -> assertEquals(share, r.part.share(), r.name));
+        fleet.live().forEach(r -> assertEquals(share, r.service.share(), r.name));
     }
 
     @Test
-    void onlyAGoodVerdictOfAMajorityIsPromoted() {
+    void onlyAGoodVerdictOfAMajorityLeadsToAPromotion() {
         try (ShadowFleet fleet = new ShadowFleet(1, 5)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             for (Verdict.Kind kind : List.of(Verdict.Kind.WORSE, Verdict.Kind.NOT_ENOUGH)) {
                 assertTrue(
                         promote(fleet, new Verdict(kind, 9, 0, -1, 1), "").startsWith("not promoted: the verdict is"));
@@ -117,15 +125,17 @@
     }
 
     @Test
-    void allTakeItUpInStepsAtOneMomentAndGoBack() {
+    void allRoutersFollowTheStepsAndTheRollback() {
         try (ShadowFleet fleet = new ShadowFleet(1, 5)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             assertTrue(promote(fleet, GOOD, "").startsWith("promotion agreed"));
             fleet.run(LEAD - 0.5);
             assertShares(fleet, 0);
             fleet.run(1);
             assertShares(fleet, 100);
-            assertTrue(fleet.live().stream().noneMatch(ShadowFleet.Router::copies), "no shadow of what is real");
+            assertTrue(
+                    fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy),
+                    "copies are sent while the candidate is promoted");
             fleet.run(29);
             assertShares(fleet, 100);
             fleet.run(1);
@@ -133,7 +143,7 @@
             assertTrue(promote(fleet, GOOD, "").contains("roll it back first"), "asked for once more");
             assertShares(fleet, 10_000);
             ShadowFleet.Router r = fleet.router(2);
-            r.node.start("back", () -> r.part.promotion().back());
+            r.node.start("back", () -> r.service.promotion().rollBack());
             fleet.run(LEAD - 0.5);
             assertShares(fleet, 10_000);
             fleet.run(1);
@@ -143,20 +153,23 @@
         }
     }
 
-    /** None promotes inside a freeze, whether it holds already or begins before a later step. */
+    /** No promotion is accepted in a freeze, whether the freeze is in force or begins before a later step. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 20})
     void nothingIsPromotedInsideAFreeze(double open) {
         try (ShadowFleet fleet = new ShadowFleet(1, 5)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             fleet.calendar = atWall(fleet, open);
-            String said = promote(fleet, GOOD, "");
-            assertTrue(said.startsWith("not promoted: ") && said.contains("FROZEN"), said);
+            String result = promote(fleet, GOOD, "");
+            assertTrue(result.startsWith("not promoted: ") && result.contains("FROZEN"), result);
             assertTrue(fleet.agreed.isEmpty());
         }
     }
 
-    /** Open for so many seconds from now by the wall clock, as a calendar that is asked of a later moment sees it. */
+    /**
+     * Returns a calendar that is open for a number of seconds from now by the wall clock, also when asked about a later
+     * time.
+     */
     private static Calendar atWall(ShadowFleet fleet, double open) {
         java.time.Instant until = fleet.router(0).node.wall().instant().plusMillis((long) (open * 1e3));
         return new Calendar() {
@@ -172,11 +185,14 @@
         };
     }
 
-    /** A window that is agreed while a promotion is under way: each router stays where it is, and goes on when it ends. */
+    /**
+     * A freeze window is agreed while a promotion is under way: each router keeps its share and continues when the
+     * window ends.
+     */
     @Test
-    void aFreezeHoldsTheNextStepAndNotARollback() {
+    void freezePostponesTheNextStepButNotARollback() {
         try (ShadowFleet fleet = new ShadowFleet(1, 5)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             promote(fleet, GOOD, "");
             fleet.run(LEAD + 1);
             fleet.calendar = fleet.openUntil(0);
@@ -187,29 +203,32 @@
             assertShares(fleet, 10_000);
             fleet.calendar = fleet.openUntil(0);
             ShadowFleet.Router r = fleet.router(2);
-            r.node.start("back", () -> r.part.promotion().back());
+            r.node.start("back", () -> r.service.promotion().rollBack());
             fleet.run(30);
             assertShares(fleet, 0);
         }
     }
 
-    /** One that does not hear serves as before, is seen, and is brought up once it hears; so is one that forgot. */
+    /**
+     * A router that does not learn of the promotion keeps the map in use and is reported as a straggler. It catches up
+     * once it learns of the promotion, and so does a router that was restarted.
+     */
     @Test
-    void aStragglerIsSeenAndBroughtUp() {
+    void stragglerIsReportedAndCatchesUp() {
         try (ShadowFleet fleet = new ShadowFleet(1, 5)) {
-            fleet.settle(ShadowFleet.map(1));
-            List<String> deaf = fleet.names.subList(4, 5);
-            fleet.net.partition(deaf, fleet.names.subList(0, 4), true);
-            fleet.deaf.add(deaf.get(0));
-            fleet.router(0).part.take(ShadowFleet.map(2));
+            fleet.awaitActive(ShadowFleet.map(1));
+            List<String> unreachable = fleet.names.subList(4, 5);
+            fleet.net.partition(unreachable, fleet.names.subList(0, 4), true);
+            fleet.unreachable.add(unreachable.get(0));
+            fleet.router(0).service.adopt(ShadowFleet.map(2));
             fleet.run(5);
             promote(fleet, GOOD, "");
             fleet.run(60);
-            assertEquals(0, fleet.router(4).part.share());
-            assertEquals(10_000, fleet.router(1).part.share());
-            assertTrue(status(fleet).endsWith("stragglers " + deaf.get(0)), status(fleet));
+            assertEquals(0, fleet.router(4).service.share());
+            assertEquals(10_000, fleet.router(1).service.share());
+            assertTrue(status(fleet).endsWith("stragglers " + unreachable.get(0)), status(fleet));
             fleet.net.heal();
-            fleet.deaf.clear();
+            fleet.unreachable.clear();
             fleet.run(5);
             assertShares(fleet, 10_000);
             assertTrue(status(fleet).endsWith("stragglers none"), status(fleet));
@@ -221,7 +240,7 @@
     }
 
     private static String status(ShadowFleet fleet) {
-        return fleet.router(1).part.status().stream()
+        return fleet.router(1).service.status().stream()
                 .filter(l -> l.startsWith("promotion: "))
                 .findFirst()
                 .orElse("");
--- a/router/src/test/java/stagepier/shadow/ShadowFleet.java
+++ b/router/src/test/java/stagepier/shadow/ShadowFleet.java
@@ -19,28 +19,28 @@
 import stagepier.freeze.Calendar;
 import stagepier.freeze.Change;
 
-/** A fleet of the shadow's tasks in virtual time, with the counts of each router's event loop at hand. */
+/** A fleet of shadow services in virtual time, in which tests set the counts of each router's event loop. */
 final class ShadowFleet implements AutoCloseable {
     static final Duration LEASE = Duration.ofSeconds(3);
 
-    /** A process of a router, from its start to its end. */
+    /** One process of a router. */
     final class Router {
         final String name;
         final long incarnation;
         final VirtualWorld.Node node;
-        final ShadowService part;
+        final ShadowService service;
         final Counts counts = new Counts();
-        /** What it holds of the fleet, as its own view would tell it late. */
+        /** Whether its view has a majority; set by tests. */
         boolean majority = true;
-        /** What was handed over last, by which merged counts are checked. */
-        final List<Counts.Snapshot> told = new ArrayList<>();
+        /** All snapshots handed over, against which merged counts are checked. */
+        final List<Counts.Snapshot> published = new ArrayList<>();
 
         Router(String name, Duration wallOff) {
             this.name = name;
             incarnation = ++incarnations;
             node = world.node(name, wallOff);
             FleetRpc calls = net.calls(node);
-            part = new ShadowService(new ShadowService.Parts(
+            service = new ShadowService(new ShadowService.Parts(
                     node,
                     calls,
                     config(name),
@@ -54,7 +54,7 @@
                     List.of("m1"),
                     (event, values) ->
                             history.add(world.seconds() + " " + name + " " + event + " " + List.of(values))));
-            part.start();
+            service.start();
             calls.start();
         }
 
@@ -62,26 +62,26 @@
             List<FleetView.Member> members = new ArrayList<>();
             for (String n : names) {
                 Router r = routers.get(n);
-                long version = r == null || r.part == null ? 0 : r.part.version();
+                long version = r == null || r.service == null ? 0 : r.service.version();
                 members.add(
                         new FleetView.Member(n, 1, FleetView.State.ALIVE, new FleetView.Facts("", "", 1, 0, version)));
             }
             return new FleetView(name, 7, majority, members);
         }
 
-        /** Counts as the event loop does, and hands it over. */
+        /** Adds to a counter and hands over a snapshot, as the event loop does. */
         void count(String what, int n) {
             counts.add(what, n);
-            Counts.Snapshot s = counts.snapshot(part.state().id());
-            if (part.counted(s)) {
-                told.add(s);
+            Counts.Snapshot s = counts.snapshot(service.state().id());
+            if (service.counted(s)) {
+                published.add(s);
             }
         }
 
-        /** Whether its event loop would send copies now. */
-        boolean copies() {
-            ShadowPlan o = part.orders();
-            return !node.isDead() && o != null && o.holdAt(node.nanoTime());
+        /** Returns whether its event loop would send copies now. */
+        boolean mayCopy() {
+            ShadowPlan o = service.orders();
+            return !node.isDead() && o != null && o.isActiveAt(node.nanoTime());
         }
     }
 
@@ -90,15 +90,15 @@
     final List<String> names = new ArrayList<>();
     final Map<String, Router> routers = new LinkedHashMap<>();
     final List<String> history = new ArrayList<>();
-    /** All that ever counted. */
+    /** All processes that were ever started. */
     final List<Router> all = new ArrayList<>();
 
     Calendar calendar = Calendar.NONE;
-    /** The one sequence of what was agreed, and who cannot hear of it. */
+    /** The sequence of agreed texts, and the routers that do not learn of new ones. */
     final List<String> agreed = new ArrayList<>();
 
-    final Set<String> deaf = new HashSet<>();
-    private final Map<String, Integer> learnt = new TreeMap<>();
+    final Set<String> unreachable = new HashSet<>();
+    private final Map<String, Integer> learned = new TreeMap<>();
     private final List<Api.Member> servers = new ArrayList<>();
     private long incarnations;
 
@@ -145,16 +145,16 @@
 
             @Override
             public Optional<Accepted> latest(String topic) {
-                if (!deaf.contains(name)) {
-                    learnt.put(name, agreed.size());
+                if (!unreachable.contains(name)) {
+                    learned.put(name, agreed.size());
                 }
-                int n = learnt.getOrDefault(name, 0);
+                int n = learned.getOrDefault(name, 0);
                 return n == 0 ? Optional.empty() : Optional.of(new Accepted(n, agreed.get(n - 1)));
             }
         };
     }
 
-    /** A calendar that is open until a moment of the world. */
+    /** Returns a calendar that is open until a time of the simulation. */
     Calendar openUntil(double seconds) {
         return new Calendar() {
             @Override
@@ -178,14 +178,14 @@
         }
     }
 
-    /** All have one candidate and may copy. */
-    void settle(CandidateMap map) {
-        router(0).part.take(map);
+    /** Runs until all routers have the candidate and may send copies. */
+    void awaitActive(CandidateMap map) {
+        router(0).service.adopt(map);
         if (!world.runUntil(
-                () -> live().stream().allMatch(r -> r.part.version() == map.version() && r.copies()),
+                () -> live().stream().allMatch(r -> r.service.version() == map.version() && r.mayCopy()),
                 Duration.ofSeconds(60))) {
-            throw new AssertionError("no shadow at "
-                    + live().stream().filter(r -> !r.copies()).map(r -> r.name).toList());
+            throw new AssertionError("no copies allowed on "
+                    + live().stream().filter(r -> !r.mayCopy()).map(r -> r.name).toList());
         }
     }
 
--- a/router/src/test/java/stagepier/shadow/ShadowFleetTest.java
+++ b/router/src/test/java/stagepier/shadow/ShadowFleetTest.java
@@ -15,43 +15,47 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The shadow's real tasks, a whole fleet of them, in virtual time. */
+/** Tests a whole fleet of real shadow services in virtual time. */
 @Timeout(120)
 class ShadowFleetTest {
     private static final int FLEET = 14;
 
-    /** P11: whatever was lost, heard twice or cut off, each router's sums are those of the histories that it has heard of. */
+    /**
+     * P11: regardless of lost, duplicate or blocked messages, the sums on each router are those of the snapshots that
+     * it has received.
+     */
     private static void assertSums(ShadowFleet fleet) {
         for (ShadowFleet.Router r : fleet.live()) {
             Map<String, Long> sums = new HashMap<>();
-            r.part.state()
+            r.service
+                    .state()
                     .known()
                     .forEach((name, processes) -> processes.forEach((incarnation, sequence) -> {
-                        ShadowFleet.Router said = fleet.all.stream()
+                        ShadowFleet.Router process = fleet.all.stream()
                                 .filter(a -> a.incarnation == incarnation)
                                 .findFirst()
                                 .orElseThrow();
-                        assertEquals(name, said.name);
-                        Counts.Snapshot then = said.told.stream()
+                        assertEquals(name, process.name);
+                        Counts.Snapshot snapshot = process.published.stream()
                                 .filter(s -> s.sequence() == sequence)
                                 .findFirst()
                                 .orElseThrow();
-                        then.counters().forEach((counter, n) -> sums.merge(counter, n, Long::sum));
+                        snapshot.counters().forEach((counter, n) -> sums.merge(counter, n, Long::sum));
                     }));
-            assertEquals(sums, r.part.state().sums(), r.name);
+            assertEquals(sums, r.service.state().sums(), r.name);
         }
     }
 
     private static Counts.Snapshot last(ShadowFleet.Router r) {
-        return r.told.get(r.told.size() - 1);
+        return r.published.get(r.published.size() - 1);
     }
 
-    /** Faults at random, counts all the time; in the end all know all. */
+    /** Random faults while the counts change; at the end all routers have all counts. */
     @Test
-    void mergedCountsAreTheSumsOfWhatWasHeard() {
+    void mergedCountsAreTheSumsOfTheReceivedCounts() {
         for (long seed = 1; seed <= 5; seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, FLEET)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 Random random = new Random(seed);
                 fleet.net.loss(0.05);
                 for (int i = 0; i < 120; i++) {
@@ -70,7 +74,7 @@
                         case 4 -> fleet.routers.get(any).node.standStill(Duration.ofSeconds(4));
                         default ->
                             fleet.live().forEach(r -> {
-                                if (!r.part.state().id().isEmpty()) {
+                                if (!r.service.state().id().isEmpty()) {
                                     r.count("same", 1 + random.nextInt(5));
                                     r.count("scores", 1);
                                 }
@@ -82,79 +86,84 @@
                 fleet.net.heal();
                 fleet.run(10);
                 assertSums(fleet);
-                long heard = fleet.router(0).part.state().sums().get("same");
+                long merged = fleet.router(0).service.state().sums().get("same");
                 fleet.live()
-                        .forEach(r -> assertEquals(heard, r.part.state().sums().get("same"), r.name));
-                long living = fleet.live().stream()
-                        .filter(r -> !r.told.isEmpty())
+                        .forEach(r ->
+                                assertEquals(merged, r.service.state().sums().get("same"), r.name));
+                long running = fleet.live().stream()
+                        .filter(r -> !r.published.isEmpty())
                         .mapToLong(r -> last(r).counter("same"))
                         .sum();
-                assertTrue(heard >= living && living > 100, () -> heard + " of " + living);
+                assertTrue(merged >= running && running > 100, () -> merged + " of " + running);
             }
         }
     }
 
-    /** A wrong answer is seen by one router: within 2 s none that can hear of it copies any more, for good. */
+    /** One router detects a wrong answer: within 2 s all reachable routers stop copying, and they do not resume. */
     @ParameterizedTest
     @ValueSource(ints = {FLEET, 100})
-    void aWrongAnswerStopsTheShadowInAllThatHear(int size) {
+    void wrongAnswerStopsTheShadowOnAllReachableRouters(int size) {
         double worst = 0;
         for (long seed = 1; seed <= (size == FLEET ? 12 : 1); seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, size)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 fleet.net.loss(0.05);
                 double at = fleet.world.seconds();
                 fleet.router((int) (seed % size)).count("wrong", 1);
                 assertTrue(
                         fleet.world.runUntil(
-                                () -> fleet.live().stream().noneMatch(ShadowFleet.Router::copies),
+                                () -> fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy),
                                 Duration.ofSeconds(2)),
                         "seed " + seed + ": "
                                 + fleet.live().stream()
-                                        .filter(ShadowFleet.Router::copies)
+                                        .filter(ShadowFleet.Router::mayCopy)
                                         .map(r -> r.name)
                                         .toList());
                 worst = Math.max(worst, fleet.world.seconds() - at);
                 fleet.run(5);
-                assertTrue(fleet.live().stream().noneMatch(ShadowFleet.Router::copies));
+                assertTrue(fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy));
             }
         }
         System.err.printf("shadow: stopped at %d routers within %.2f s at the worst%n", size, worst);
     }
 
-    /** Two halves that only one router hears both of, and the one that saw it dies at once: the word goes round all the same. */
+    /**
+     * Only one router reaches both halves of the fleet, and the router that detected the wrong answer dies at once: the
+     * stop still reaches all routers.
+     */
     @Test
-    void theWordGoesOverABridgeAndOutlivesWhoSaidIt() {
+    void stopCrossesABridgeAfterTheDetectingRouterHasDied() {
         for (long seed = 1; seed <= 6; seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, FLEET)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 fleet.net.partition(fleet.names.subList(0, 6), fleet.names.subList(7, FLEET), true);
                 fleet.router(0).count("wrong", 1);
                 fleet.run(0.1);
                 fleet.router(0).node.kill();
                 assertTrue(
                         fleet.world.runUntil(
-                                () -> fleet.live().stream().noneMatch(ShadowFleet.Router::copies),
+                                () -> fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy),
                                 Duration.ofMillis(1900)),
                         "seed " + seed + ": "
                                 + fleet.live().stream()
-                                        .filter(ShadowFleet.Router::copies)
+                                        .filter(ShadowFleet.Router::mayCopy)
                                         .map(r -> r.name)
                                         .toList());
-                fleet.live().forEach(r -> assertFalse(r.part.state().stopped().isEmpty(), r.name));
+                fleet.live()
+                        .forEach(r -> assertFalse(r.service.state().stopped().isEmpty(), r.name));
             }
         }
     }
 
     /**
-     * Links that come and go each 2 s, one that hears and is not heard, one that stands still for 4 s: in the end all have
-     * stopped.
+     * Links that flap every 2 s, a router that receives but is not received, and a router that stands still for 4 s: in
+     * the end all have stopped.
      */
     @Test
-    void flapsOneWaysAndStopsDelayTheWordAndNeverLoseIt() {
+    void flappingAndOneWayLinksAndPausesDelayAStopButDoNotLoseIt() {
         for (long seed = 1; seed <= 6; seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, FLEET)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 List<String> flapping = fleet.names.subList(0, 3);
                 fleet.names.subList(4, FLEET).forEach(n -> fleet.net.cut(fleet.names.get(3), n, true));
                 fleet.router(4).node.standStill(Duration.ofSeconds(4));
@@ -163,57 +172,61 @@
                     fleet.net.partition(flapping, fleet.names.subList(3, FLEET), i % 2 == 0);
                     fleet.run(2);
                     int turn = i;
-                    // Who stood still may have been the last to know; from its lease on it does not copy either.
+                    // The router that stood still may be the last to learn of the stop; once its lease has expired it
+                    // does not copy either.
                     assertTrue(
-                            turn < 2 || fleet.live().stream().noneMatch(ShadowFleet.Router::copies),
+                            turn < 2 || fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy),
                             "seed " + seed + " turn " + turn);
                 }
                 fleet.net.heal();
                 fleet.run(3);
-                fleet.live().forEach(r -> assertFalse(r.part.state().stopped().isEmpty(), r.name));
+                fleet.live()
+                        .forEach(r -> assertFalse(r.service.state().stopped().isEmpty(), r.name));
             }
         }
     }
 
     /**
-     * Cut off from whoever saw it, with a view that does not know yet: the lease ends it. On the side of the majority words do.
+     * Routers are cut off from the detecting router and their views do not show it yet: the lease stops them. On the
+     * majority's side messages do.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 7})
-    void whoCannotHearIsStoppedByItsLease(int cutOff) {
+    void routerThatIsCutOffIsStoppedByItsLease(int cutOff) {
         for (long seed = 1; seed <= 6; seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, FLEET)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 List<String> away = fleet.names.subList(0, cutOff);
                 fleet.net.partition(away, fleet.names.subList(cutOff, FLEET), true);
                 fleet.router(FLEET - 1).count("wrong", 1);
                 fleet.run(2);
-                assertTrue(fleet.live().stream().noneMatch(r -> !away.contains(r.name) && r.copies()), "seed " + seed);
+                assertTrue(fleet.live().stream().noneMatch(r -> !away.contains(r.name) && r.mayCopy()), "seed " + seed);
                 fleet.run(ShadowFleet.LEASE.toMillis() / 1e3 - 2 + 0.5);
-                assertTrue(fleet.live().stream().noneMatch(ShadowFleet.Router::copies), "seed " + seed);
+                assertTrue(fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy), "seed " + seed);
                 fleet.net.heal();
                 fleet.run(5);
-                // Heard of it now, not merely cut off.
-                fleet.live().forEach(r -> assertFalse(r.part.state().stopped().isEmpty(), r.name));
+                // Stopped because of the message now, not only because of the partition.
+                fleet.live()
+                        .forEach(r -> assertFalse(r.service.state().stopped().isEmpty(), r.name));
             }
         }
     }
 
-    /** A process that forgot the stop is not relied on before it has caught up. */
+    /** A restarted process that has lost the stop does not extend the leases of others before it has caught up. */
     @Test
-    void aStopOutlivesRestartsOneAtATime() {
+    void stopSurvivesARollingRestart() {
         for (long seed = 1; seed <= 5; seed++) {
             try (ShadowFleet fleet = new ShadowFleet(seed, 5)) {
-                fleet.settle(ShadowFleet.map(1));
+                fleet.awaitActive(ShadowFleet.map(1));
                 fleet.router(0).count("wrong", 1);
                 fleet.run(2);
                 for (String name : fleet.names) {
                     fleet.routers.get(name).node.kill();
-                    fleet.start(name, Duration.ZERO).part.take(ShadowFleet.map(1));
+                    fleet.start(name, Duration.ZERO).service.adopt(ShadowFleet.map(1));
                     for (int i = 0; i < 50; i++) {
                         fleet.run(0.1);
                         assertTrue(
-                                fleet.live().stream().noneMatch(ShadowFleet.Router::copies),
+                                fleet.live().stream().noneMatch(ShadowFleet.Router::mayCopy),
                                 "seed " + seed + " after " + name);
                     }
                 }
@@ -222,45 +235,45 @@
     }
 
     @Test
-    void aMinorityHasNoVerdictAndNoCopies() {
+    void minorityHasNoVerdictAndSendsNoCopies() {
         try (ShadowFleet fleet = new ShadowFleet(1, FLEET)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             for (int i = 0; i < 7; i++) {
                 score(fleet.router(i), 1000, 0.5);
             }
             fleet.run(10);
             assertEquals(
                     Verdict.Kind.NOT_ENOUGH,
-                    fleet.router(0).part.state().verdict(true).kind(),
-                    "7 of 14 have spoken");
+                    fleet.router(0).service.state().verdict(true).kind(),
+                    "scores of 7 of 14 routers");
             score(fleet.router(7), 1000, 0.5);
             fleet.run(10);
             assertEquals(
                     Verdict.Kind.WORSE,
-                    fleet.router(0).part.state().verdict(true).kind());
+                    fleet.router(0).service.state().verdict(true).kind());
             assertEquals(
                     Verdict.Kind.NOT_ENOUGH,
-                    fleet.router(0).part.state().verdict(false).kind());
+                    fleet.router(0).service.state().verdict(false).kind());
             fleet.router(0).majority = false;
             fleet.run(1);
-            assertFalse(fleet.router(0).copies());
+            assertFalse(fleet.router(0).mayCopy());
         }
     }
 
     private static void score(ShadowFleet.Router r, int n, double score) {
         for (int i = 0; i < n; i++) {
-            r.counts.score(false, score + (i % 2 == 0 ? 0.3 : -0.3));
-            r.counts.score(true, i % 2 == 0 ? 0.3 : -0.3);
+            r.counts.addScore(false, score + (i % 2 == 0 ? 0.3 : -0.3));
+            r.counts.addScore(true, i % 2 == 0 ? 0.3 : -0.3);
         }
         r.count("same", n);
     }
 
     /**
-     * Two files of one version at two routers at the same moment: the same one counts everywhere in the end, with nothing of the
-     * other.
+     * Two routers read different files with the same version at the same time: all routers converge to the same
+     * candidate, without counts or a stop of the other.
      */
     @Test
-    void twoCandidatesAtOnceBecomeOneAndANewerOneBeginsAnew() throws CandidateException {
+    void concurrentCandidatesConvergeAndANewerOneResetsTheState() throws CandidateException {
         try (ShadowFleet fleet = new ShadowFleet(3, FLEET)) {
             CandidateMap other = CandidateFile.parse(
                             "test",
@@ -268,62 +281,63 @@
                                     .replace("slice = 200", "slice = 100")
                                     .replace("version = 3", "version = 1"))
                     .map();
-            fleet.router(0).part.take(ShadowFleet.map(1));
-            fleet.router(5).part.take(other);
+            fleet.router(0).service.adopt(ShadowFleet.map(1));
+            fleet.router(5).service.adopt(other);
             fleet.router(0).count("same", 5);
             fleet.router(5).count("same", 7);
             fleet.run(10);
             assertEquals(
                     1,
                     fleet.live().stream()
-                            .map(r -> r.part.state().id())
+                            .map(r -> r.service.state().id())
                             .distinct()
                             .count());
             fleet.router(0).count("wrong", 1);
             fleet.run(3);
-            fleet.router(3).part.take(ShadowFleet.map(2));
+            fleet.router(3).service.adopt(ShadowFleet.map(2));
             fleet.run(10);
             for (ShadowFleet.Router r : fleet.live()) {
-                assertEquals(2, r.part.version());
-                assertEquals("", r.part.state().stopped());
-                assertTrue(r.copies());
+                assertEquals(2, r.service.version());
+                assertEquals("", r.service.state().stopped());
+                assertTrue(r.mayCopy());
             }
         }
     }
 
-    /** Messages stay within what one may hold, whatever is counted: SimulatedNetwork refuses a longer one. */
+    /** Messages stay within the size limit, whatever is counted: SimulatedNetwork rejects longer ones. */
     @Test
-    void manyRoutersWithTimesFitIntoMessages() {
+    void countsAndTimesOfManyRoutersFitIntoMessages() {
         try (ShadowFleet fleet = new ShadowFleet(1, 40)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             Random random = new Random(1);
             for (ShadowFleet.Router r : fleet.live()) {
                 for (String which : List.of("read.real", "read.copy", "get.real", "get.copy")) {
                     for (int i = 0; i < 500; i++) {
-                        r.counts.time(which, Math.exp(-5 + random.nextGaussian()));
+                        r.counts.recordTime(which, Math.exp(-5 + random.nextGaussian()));
                     }
                 }
                 r.count("same", 500);
             }
             fleet.run(15);
             fleet.live()
-                    .forEach(r -> assertEquals(40 * 500, r.part.state().sums().get("same"), r.name));
+                    .forEach(
+                            r -> assertEquals(40 * 500, r.service.state().sums().get("same"), r.name));
             assertTrue(
-                    fleet.router(1).part.status().stream()
+                    fleet.router(1).service.status().stream()
                             .anyMatch(l -> l.startsWith("shadow times of read.copy: n 20000")),
-                    () -> fleet.router(1).part.status().toString());
+                    () -> fleet.router(1).service.status().toString());
         }
     }
 
     @Test
-    void anotherSeedGivesAnotherHistory() {
+    void historyDependsOnlyOnTheSeed() {
         assertEquals(history(1), history(1));
         assertNotEquals(history(1), history(2));
     }
 
     private static List<String> history(long seed) {
         try (ShadowFleet fleet = new ShadowFleet(seed, 5)) {
-            fleet.settle(ShadowFleet.map(1));
+            fleet.awaitActive(ShadowFleet.map(1));
             fleet.router(1).count("wrong", 1);
             fleet.run(3);
             return List.copyOf(fleet.history);
--- a/router/src/test/java/stagepier/shadow/ShadowRulesTest.java
+++ b/router/src/test/java/stagepier/shadow/ShadowRulesTest.java
@@ -14,7 +14,7 @@
 
 @Timeout(30)
 class ShadowRulesTest {
-    private static final ShadowRules.OriginalRequest FINE =
+    private static final ShadowRules.OriginalRequest ALLOWED =
             new ShadowRules.OriginalRequest(true, false, 0, true, 1, 0.9, false);
     private static final ShadowRules.Owners MOVED = new ShadowRules.Owners(1, 1, 2);
 
@@ -32,14 +32,14 @@
         };
     }
 
-    private static CopyDecision rule(ShadowRules.OriginalRequest asked, ShadowRules.Owners owners) {
+    private static CopyDecision rule(ShadowRules.OriginalRequest request, ShadowRules.Owners owners) {
         return new ShadowRules(CandidateFileTest.good(), 1)
-                .rule(10, asked, owners, true, router(false, false), Eligibility.FIT);
+                .decide(10, request, owners, true, router(false, false), Eligibility.FIT);
     }
 
     @Test
-    void onlyWhatMayBeRepeatedWasSentAndHasTimeIsCopied() {
-        assertEquals(CopyDecision.COPY, rule(FINE, MOVED));
+    void onlyRepeatableSentRequestsWithTimeLeftAreCopied() {
+        assertEquals(CopyDecision.COPY, rule(ALLOWED, MOVED));
         assertEquals(
                 CopyDecision.NOT_SAFE,
                 rule(new ShadowRules.OriginalRequest(false, false, 0, true, 1, 0.9, false), MOVED));
@@ -60,57 +60,66 @@
     }
 
     @Test
-    void onlyToAnotherOwner() {
-        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, 1)));
-        // Spilled: the real one went past its owner, where the candidate leaves the key.
-        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(3, 2, 2)));
-        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(2, 1, 2)));
-        assertEquals(CopyDecision.NOT_MOVED, rule(FINE, new ShadowRules.Owners(1, 1, -1)));
+    void copiesGoOnlyToADifferentOwner() {
+        assertEquals(CopyDecision.NOT_MOVED, rule(ALLOWED, new ShadowRules.Owners(1, 1, 1)));
+        // Spill-over: the real request was sent to a server other than its owner, and the candidate does not move the
+        // key.
+        assertEquals(CopyDecision.NOT_MOVED, rule(ALLOWED, new ShadowRules.Owners(3, 2, 2)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(ALLOWED, new ShadowRules.Owners(2, 1, 2)));
+        assertEquals(CopyDecision.NOT_MOVED, rule(ALLOWED, new ShadowRules.Owners(1, 1, -1)));
     }
 
     @ParameterizedTest
     @CsvSource({"ABSENT", "DRAINING", "COLD", "CROWDED", "OPEN"})
-    void neverToAServerThatHasToBeSpared(Eligibility fitness) {
+    void noCopyIsSentToAnIneligibleServer(Eligibility eligibility) {
         assertEquals(
                 CopyDecision.NOT_FIT,
                 new ShadowRules(CandidateFileTest.good(), 1)
-                        .rule(10, FINE, MOVED, true, router(false, false), fitness));
+                        .decide(10, ALLOWED, MOVED, true, router(false, false), eligibility));
     }
 
     @Test
-    void neverWhileTheRouterHasOtherCares() {
+    void noCopyIsSentWhileTheRouterIsInactiveOverloadedDrainingOrRefusing() {
         ShadowRules rules = new ShadowRules(CandidateFileTest.good(), 1);
-        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, false, router(false, false), Eligibility.FIT));
-        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(true, false), Eligibility.FIT));
-        assertEquals(CopyDecision.NOT_NOW, rules.rule(10, FINE, MOVED, true, router(false, true), Eligibility.FIT));
-        rules.refused(10);
-        assertEquals(CopyDecision.NOT_NOW, rules.rule(10.9, FINE, MOVED, true, router(false, false), Eligibility.FIT));
-        assertEquals(CopyDecision.COPY, rules.rule(11.1, FINE, MOVED, true, router(false, false), Eligibility.FIT));
+        assertEquals(
+                CopyDecision.NOT_NOW, rules.decide(10, ALLOWED, MOVED, false, router(false, false), Eligibility.FIT));
+        assertEquals(
+                CopyDecision.NOT_NOW, rules.decide(10, ALLOWED, MOVED, true, router(true, false), Eligibility.FIT));
+        assertEquals(
+                CopyDecision.NOT_NOW, rules.decide(10, ALLOWED, MOVED, true, router(false, true), Eligibility.FIT));
+        rules.recordRefusal(10);
+        assertEquals(
+                CopyDecision.NOT_NOW, rules.decide(10.9, ALLOWED, MOVED, true, router(false, false), Eligibility.FIT));
+        assertEquals(
+                CopyDecision.COPY, rules.decide(11.1, ALLOWED, MOVED, true, router(false, false), Eligibility.FIT));
     }
 
-    /** P10: over all routers, and over any of them, whatever is asked and when; also those that have just started. */
+    /**
+     * P10: holds over all routers and for each one, whatever is requested and when; also for routers that have just
+     * started.
+     */
     @ParameterizedTest
     @CsvSource({"14, 100", "14, 20", "200, 500", "3, 1000"})
-    void allSharesTogetherStayWithinTheBudgetOverAnySecond(int fleet, double budget) {
+    void allSharesTogetherStayWithinTheBudgetInAnySecond(int fleet, double budget) {
         Random random = new Random(fleet);
         List<Double> spent = new ArrayList<>();
         for (int router = 0; router < fleet; router++) {
-            CopyRateLimiter pace = new CopyRateLimiter(budget, fleet);
+            CopyRateLimiter limiter = new CopyRateLimiter(budget, fleet);
             List<Double> own = new ArrayList<>();
             for (double now = 0;
                     now < 20;
                     now += random.nextDouble() * 0.002 * (random.nextInt(2000) == 0 ? 500 : 0.2)) {
-                if (pace.has(now)) {
-                    pace.spend(now);
+                if (limiter.has(now)) {
+                    limiter.spend(now);
                     own.add(now);
                 }
             }
-            assertTrue(mostWithin(own, 1) <= budget / fleet + 1e-9, "a router alone");
+            assertTrue(mostWithin(own, 1) <= budget / fleet + 1e-9, "one router exceeds its share");
             spent.addAll(own);
         }
         spent.sort(null);
-        assertTrue(mostWithin(spent, 1) <= budget, () -> mostWithin(spent, 1) + " in a second");
-        assertTrue(spent.size() > 0.3 * budget * 20, () -> "hardly any: " + spent.size());
+        assertTrue(mostWithin(spent, 1) <= budget, () -> mostWithin(spent, 1) + " copies in one second");
+        assertTrue(spent.size() > 0.3 * budget * 20, () -> "too few copies: " + spent.size());
     }
 
     private static int mostWithin(List<Double> sorted, double span) {
@@ -125,15 +134,15 @@
         return most;
     }
 
-    /** A share below one in a second. */
+    /** A share below one copy per second allows one copy in 1 / share seconds. */
     @Test
-    void aSmallShareIsKeptOverTheTimeThatIsStated() {
-        CopyRateLimiter pace = new CopyRateLimiter(5, 14);
+    void shareBelowOnePerSecondIsKeptOverItsInterval() {
+        CopyRateLimiter limiter = new CopyRateLimiter(5, 14);
         double share = 5.0 / 14;
         List<Double> own = new ArrayList<>();
         for (double now = 0; now < 300; now += 0.01) {
-            if (pace.has(now)) {
-                pace.spend(now);
+            if (limiter.has(now)) {
+                limiter.spend(now);
                 own.add(now);
             }
         }
@@ -142,21 +151,21 @@
     }
 
     @Test
-    void whatWasFetchedUnforeseenIsPaidBack() {
+    void unexpectedFetchesAreChargedToTheBudget() {
         ShadowRules rules = new ShadowRules(CandidateFileTest.good(), 1);
-        assertEquals(CopyDecision.OVER_BUDGET, rules.afford(0, true));
-        assertEquals(CopyDecision.OVER_FETCHES, rules.afford(0.5, true));
-        assertEquals(CopyDecision.COPY, rules.afford(1, true));
+        assertEquals(CopyDecision.OVER_BUDGET, rules.reserve(0, true));
+        assertEquals(CopyDecision.OVER_FETCHES, rules.reserve(0.5, true));
+        assertEquals(CopyDecision.COPY, rules.reserve(1, true));
         for (int i = 0; i < 7; i++) {
-            rules.fetched(1);
+            rules.recordFetch(1);
         }
-        assertEquals(CopyDecision.OVER_FETCHES, rules.afford(2, true));
-        assertEquals(CopyDecision.COPY, rules.afford(2.1, false));
-        assertEquals(CopyDecision.COPY, rules.afford(5, true));
+        assertEquals(CopyDecision.OVER_FETCHES, rules.reserve(2, true));
+        assertEquals(CopyDecision.COPY, rules.reserve(2.1, false));
+        assertEquals(CopyDecision.COPY, rules.reserve(5, true));
     }
 
     @Test
-    void slicesAreNestedAndOfTheStatedSizeAndDifferBySalt() {
+    void slicesAreNestedHaveTheStatedSizeAndDifferBySalt() {
         Slice a = new Slice("a");
         Slice b = new Slice("b");
         int inA = 0;
@@ -164,9 +173,9 @@
         Random random = new Random(4);
         for (int i = 0; i < 100_000; i++) {
             long key = random.nextLong();
-            assertFalse(a.holds(key, 500) && !a.holds(key, 501));
-            inA += a.holds(key, 500) ? 1 : 0;
-            inBoth += a.holds(key, 500) && b.holds(key, 500) ? 1 : 0;
+            assertFalse(a.contains(key, 500) && !a.contains(key, 501));
+            inA += a.contains(key, 500) ? 1 : 0;
+            inBoth += a.contains(key, 500) && b.contains(key, 500) ? 1 : 0;
         }
         assertEquals(5000, inA, 300);
         assertEquals(250, inBoth, 60);
--- a/router/src/test/java/stagepier/shadow/ShadowWorld.java
+++ b/router/src/test/java/stagepier/shadow/ShadowSimulation.java
@@ -31,10 +31,11 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * One router with the real module in virtual time, its cache servers scripted: what a server does with a request depends on the
- * key, the server and the attempt alone, so that a play with copies and one without can be compared request by request.
+ * One router with the real routing module in virtual time and scripted cache servers. What a server does with a request
+ * depends only on the key, the server and the attempt, so that a run with copies can be compared request by request
+ * with a run without.
  */
-final class ShadowWorld implements ServerTransport {
+final class ShadowSimulation implements ServerTransport {
     static final String SETTINGS = """
             {"Siblings":4,"Classes":[{"Name":"read","Deadline":1,"GoalTime":0.5,"Repeat":"idempotent"},
             {"Name":"put","Deadline":1,"Repeat":"deduplicated","DedupWindow":5}],"FamilyInfo":{"Mode":"through"},
@@ -44,7 +45,7 @@
     private static final double START = 1_000_000;
     private static final double STEP = 0.001;
 
-    /** How servers answer copies. */
+    /** How the servers answer copies. */
     enum Candidate {
         GOOD,
         SLOW,
@@ -60,13 +61,13 @@
     final List<Double> copiesAt = new ArrayList<>();
     final List<List<Object>> history = new ArrayList<>();
     final List<String> copyLines = new ArrayList<>();
-    final ServerStates servers = new ServerStates(2, this::judge);
-    final List<Counts.Snapshot> told = new ArrayList<>();
+    final ServerStates servers = new ServerStates(2, this::eligibility);
+    final List<Counts.Snapshot> published = new ArrayList<>();
     final ModuleHost host;
     ShadowCopies copies;
     boolean pressed;
     boolean draining;
-    ShadowPlan orders;
+    ShadowPlan plan;
     Api.PromotedRing promoted;
     private final EmbeddedChannel main = new EmbeddedChannel();
     private final EventLoop loop = main.eventLoop();
@@ -81,7 +82,7 @@
         }
     };
 
-    ShadowWorld(long seed, Candidate candidate, CandidateMap map) {
+    ShadowSimulation(long seed, Candidate candidate, CandidateMap map) {
         this.candidate = candidate;
         main.freezeTime();
         host = new ModuleHost(loop, clock, new LoopDelay(), settings);
@@ -94,7 +95,7 @@
         }
         host.members(true, members);
         if (map != null) {
-            orders = new ShadowPlan(
+            plan = new ShadowPlan(
                     map,
                     new Slice(map.salt()),
                     ShardRing.of(map),
@@ -122,8 +123,8 @@
                     },
                     servers,
                     () -> 0,
-                    () -> orders,
-                    told::add,
+                    () -> plan,
+                    published::add,
                     () -> promoted,
                     host::promoted,
                     (event, values) -> {
@@ -139,7 +140,7 @@
         }
     }
 
-    private Eligibility judge(double at, long server) {
+    private Eligibility eligibility(double at, long server) {
         return host.avoidsOptionalLoad(at, server) ? Eligibility.CROWDED : Eligibility.FIT;
     }
 
@@ -148,21 +149,21 @@
     }
 
     Counts.Snapshot last() {
-        return told.get(told.size() - 1);
+        return published.get(published.size() - 1);
     }
 
     long counter(String name) {
-        return told.isEmpty() ? 0 : last().counter(name);
+        return published.isEmpty() ? 0 : last().counter(name);
     }
 
-    /** Requests at random for keys of which few are asked for often. */
-    void play(long seed, int requests, double perSecond) {
+    /** Sends random requests, in which a few keys are requested often. */
+    void sendRequests(long seed, int requests, double perSecond) {
         Random random = new Random(seed);
         for (int i = 0; i < requests; i++) {
             run(-Math.log(1 - random.nextDouble()) / perSecond);
             String key = String.format("%016x", 1 + (long) (300 * random.nextDouble() * random.nextDouble()));
             boolean write = random.nextInt(20) == 0;
-            ask(
+            request(
                     write
                             ? "ms " + key + " 1 Or" + i + " Pc=put,d=900,k=" + i + "\r\nx\r\n"
                             : "mg " + key + " v Or" + i + " Pc=read,d=900\r\n");
@@ -170,7 +171,7 @@
         run(3);
     }
 
-    void ask(String line) {
+    void request(String line) {
         RingBuffer ring = new RingBuffer();
         ring.put(line.getBytes(StandardCharsets.ISO_8859_1));
         try {
@@ -200,8 +201,8 @@
         }
     }
 
-    // ---- the real servers ---------------------------------------------------------------------------------
-    /** What becomes of it is drawn from what is asked alone. */
+    // ---- cache servers for real requests ------------------------------------------------------------------
+    /** The outcome is drawn from the request alone. */
     private static SplittableRandom draw(String id, long server, int attempt) {
         return new SplittableRandom(id.hashCode() * 1_000_003L + server * 31 + attempt);
     }
@@ -212,23 +213,26 @@
         String id = x.command().id();
         log.add(time() + " send " + id + " " + attempt + " " + server);
         SplittableRandom draw = draw(id, server, attempt);
-        int fate = draw.nextInt(100);
-        Api.Outcome outcome = fate < 2
+        int percentile = draw.nextInt(100);
+        Api.Outcome outcome = percentile < 2
                 ? Api.Outcome.ERROR
-                : fate < 4 ? Api.Outcome.FULL : fate < 5 ? Api.Outcome.TIMEOUT : Api.Outcome.OK;
-        double takes = outcome == Api.Outcome.TIMEOUT ? timeout : Math.min(timeout, 0.002 + 0.01 * draw.nextDouble());
-        boolean[] over = new boolean[1];
+                : percentile < 4 ? Api.Outcome.FULL : percentile < 5 ? Api.Outcome.TIMEOUT : Api.Outcome.OK;
+        double durationSeconds =
+                outcome == Api.Outcome.TIMEOUT ? timeout : Math.min(timeout, 0.002 + 0.01 * draw.nextDouble());
+        boolean[] ended = new boolean[1];
         if (x.command().isWrite()) {
             versions.merge(x.command().key(), 1, Integer::sum);
         }
         loop.schedule(
-                () -> end(x, attempt, server, outcome, sentAt, over), (long) (takes * 1e6), TimeUnit.MICROSECONDS);
-        return () -> end(x, attempt, server, Api.Outcome.CANCELLED, sentAt, over);
+                () -> end(x, attempt, server, outcome, sentAt, ended),
+                (long) (durationSeconds * 1e6),
+                TimeUnit.MICROSECONDS);
+        return () -> end(x, attempt, server, Api.Outcome.CANCELLED, sentAt, ended);
     }
 
-    private void end(Exchange x, int attempt, long server, Api.Outcome outcome, double sentAt, boolean[] over) {
-        if (!over[0]) {
-            over[0] = true;
+    private void end(Exchange x, int attempt, long server, Api.Outcome outcome, double sentAt, boolean[] ended) {
+        if (!ended[0]) {
+            ended[0] = true;
             log.add(time() + " end " + x.command().id() + " " + attempt + " " + server + " " + outcome);
             String body = value(x.command().key());
             host.ended(
@@ -252,50 +256,50 @@
     @Override
     public void closeIdle(long server) {}
 
-    // ---- the connections for copies -----------------------------------------------------------------------
+    // ---- connections for copies ---------------------------------------------------------------------------
     private ChannelFuture connect(ChannelHandler setUp, InetSocketAddress address) {
         long server = address.getPort() - 20_000;
         EmbeddedChannel channel = new EmbeddedChannel(setUp);
-        hear(channel, server, 0, "");
+        pollOutput(channel, server, 0, "");
         return channel.newSucceededFuture();
     }
 
-    /** Looks again and again for what was written, which may come in pieces. */
-    private void hear(EmbeddedChannel channel, long server, int heard, String begun) {
+    /** Polls for output, which may be written in pieces. */
+    private void pollOutput(EmbeddedChannel channel, long server, int answered, String partial) {
         if (!channel.isOpen()) {
             return;
         }
-        StringBuilder all = new StringBuilder(begun);
+        StringBuilder all = new StringBuilder(partial);
         for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             all.append(out.toString(StandardCharsets.ISO_8859_1));
         }
         boolean whole = all.indexOf("\r\n") >= 0;
         if (whole) {
-            answer(channel, server, all.toString(), heard);
+            answer(channel, server, all.toString(), answered);
         }
         loop.schedule(
-                () -> hear(channel, server, whole ? heard + 1 : heard, whole ? "" : all.toString()),
+                () -> pollOutput(channel, server, whole ? answered + 1 : answered, whole ? "" : all.toString()),
                 100,
                 TimeUnit.MICROSECONDS);
     }
 
-    private void answer(EmbeddedChannel channel, long server, String line, int heard) {
+    private void answer(EmbeddedChannel channel, long server, String line, int answered) {
         copyLines.add(line);
         String[] words = line.trim().split(" ");
         String key = words[1];
         String id = words[3].substring(1);
-        boolean fromCandidate = orders.ring().owner(Ids.ofKey(key)) == server;
-        double takes = (candidate == Candidate.SLOW && fromCandidate ? 0.03 : 0.002)
+        boolean fromCandidate = plan.ring().owner(Ids.ofKey(key)) == server;
+        double durationSeconds = (candidate == Candidate.SLOW && fromCandidate ? 0.03 : 0.002)
                 + 0.01 * draw(id, server, 0).nextDouble();
         String value = value(key);
-        String said = switch (candidate) {
+        String returned = switch (candidate) {
             case WRONG -> fromCandidate ? "wrong" : value;
-            case RACES -> heard % 5 == 4 ? value + "!" : value;
+            case RACES -> answered % 5 == 4 ? value + "!" : value;
             default -> value;
         };
         String text = candidate == Candidate.FAILS
                 ? "SERVER_ERROR failed\r\n"
-                : "VA " + said.length() + " O" + id + " h1\r\n" + said + "\r\n";
+                : "VA " + returned.length() + " O" + id + " h1\r\n" + returned + "\r\n";
         if (candidate == Candidate.SILENT) {
             return;
         }
@@ -304,13 +308,13 @@
                     if (!channel.isOpen()) {
                         return;
                     }
-                    if (candidate == Candidate.BREAKS && heard % 3 == 2) {
+                    if (candidate == Candidate.BREAKS && answered % 3 == 2) {
                         channel.close();
                     } else {
                         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
                     }
                 },
-                (long) (takes * 1e6),
+                (long) (durationSeconds * 1e6),
                 TimeUnit.MICROSECONDS);
     }
 }
