--- a/router/src/main/java/stagepier/freeze/Acceptor.java
+++ b/router/src/main/java/stagepier/freeze/Acceptor.java
@@ -8,129 +8,133 @@
 import stagepier.fleet.History;
 
 /**
- * What one router remembers of the agreement, and the rules by which it promises and votes. It never waits, and its lock is
- * held only while it looks something up. Never on the event loop.
+ * The acceptor state of one router, and the rules by which it promises and votes. No method blocks except for the lock,
+ * which is held only during in-memory work. Must not be used on the event loop.
  *
- * <p>A process starts without a memory and has no vote. It has one once it has taken over what a majority holds ({@link
- * #recovered}), or was one of all that founded the fleet ({@link RegisterRequest#FOUNDED}).
+ * <p>State is not persisted: a process starts without state and may not vote. It becomes a member, which may vote, once
+ * it has taken over the state of a majority ({@link #adoptState}) or has taken part in founding the fleet ({@link
+ * RegisterRequest#FOUNDED}).
  */
 class Acceptor {
     private final String self;
     private final History history;
     private final LongSupplier wallMs;
-    private final Map<String, Long> vector = new HashMap<>();
+    private final Map<String, Long> incarnations = new HashMap<>();
     private long incarnation;
     private boolean member;
     private long generation;
-    /** The last generation that it promised to found; it takes no part in an earlier one. */
-    private long founding;
+    /** The last generation whose founding this acceptor promised to join; it does not vote in earlier ones. */
+    private long foundingGeneration;
 
     private String founder = "";
     private long founderIncarnation;
-    private long earlier;
-    private long highest;
+    private long earlierFounding;
+    private long highestGeneration;
     private Ballot promised = Ballot.ZERO;
     private Ballot ballot = Ballot.ZERO;
     private Entry entry = Entry.NONE;
     private Entry learned = Entry.NONE;
-    private Ballot learnedIn = Ballot.ZERO;
-    private String file = "";
+    private Ballot learnedBallot = Ballot.ZERO;
+    private String fileHash = "";
     private long ballotsReceived;
 
     /**
-     * @param incarnation of this process, above 0 and above those of all processes that had this name
-     * @param wallMs      the wall clock, milliseconds since 1970
+     * @param incarnation of this process; above 0 and above that of every earlier process of the same name
+     * @param wallMs      the wall clock in milliseconds since 1970
      */
     Acceptor(String self, long incarnation, LongSupplier wallMs, History history) {
         this.self = self;
         this.history = history;
         this.wallMs = wallMs;
         this.incarnation = incarnation;
-        vector.put(self, incarnation);
+        incarnations.put(self, incarnation);
     }
 
-    /** Whether it may promise and vote in that generation. */
+    /** Whether this acceptor may promise and vote in the given generation. */
     boolean mayVote(long inGeneration) {
         return member && generation == inGeneration;
     }
 
-    /** The incarnations that replies carry. */
-    Map<String, Long> known() {
-        return vector;
+    /** The last known incarnation of each router, as sent in replies. */
+    Map<String, Long> knownIncarnations() {
+        return incarnations;
     }
 
-    /** @param kind one of those in {@link RegisterRequest} */
-    final synchronized RegisterResponse answer(String kind, RegisterRequest ask) {
-        learnIncarnation(ask.name(), ask.incarnation());
-        if (ask.yours() > incarnation) {
-            startOver(ask.yours());
+    /** @param kind a message kind of {@link RegisterRequest} */
+    final synchronized RegisterResponse handle(String kind, RegisterRequest request) {
+        learnIncarnation(request.name(), request.incarnation());
+        if (request.yours() > incarnation) {
+            discardState(request.yours());
         }
-        boolean current = ask.incarnation() >= vector.get(ask.name());
-        highest = Math.max(highest, ask.generation());
-        boolean ok = current && does(kind, ask);
-        boolean whole = kind.equals(RegisterRequest.PREPARE)
+        boolean current = request.incarnation() >= incarnations.get(request.name());
+        highestGeneration = Math.max(highestGeneration, request.generation());
+        boolean ok = current && process(kind, request);
+        boolean includeState = kind.equals(RegisterRequest.PREPARE)
                 || kind.equals(RegisterRequest.ACCEPT)
                 || kind.equals(RegisterRequest.FOUND)
                 || kind.equals(RegisterRequest.FOUNDED)
                 || kind.equals(RegisterRequest.RECOVER) && ok;
-        boolean content = kind.equals(RegisterRequest.RECOVER) && ok
+        boolean includeEntry = kind.equals(RegisterRequest.RECOVER) && ok
                 || kind.equals(RegisterRequest.FOUND)
                 || kind.equals(RegisterRequest.PREPARE) && ok;
-        boolean news = kind.equals(RegisterRequest.PULL) && ask.after().compareTo(learned.version()) < 0;
+        boolean includeLearned =
+                kind.equals(RegisterRequest.PULL) && request.after().compareTo(learned.version()) < 0;
         return new RegisterResponse(
                 ok,
                 incarnation,
                 member,
                 generation,
-                earlier,
-                highest,
+                earlierFounding,
+                highestGeneration,
                 promised,
                 ballot,
                 entry.version(),
                 learned.version(),
                 wallMs.getAsLong(),
-                content ? entry : null,
-                news ? learned : null,
-                news ? learnedIn : null,
-                whole ? file : null,
-                whole
-                        ? new TreeMap<>(known())
-                        : kind.equals(RegisterRequest.RECOVER) ? Map.of(ask.name(), vector.get(ask.name())) : null);
+                includeEntry ? entry : null,
+                includeLearned ? learned : null,
+                includeLearned ? learnedBallot : null,
+                includeState ? fileHash : null,
+                includeState
+                        ? new TreeMap<>(knownIncarnations())
+                        : kind.equals(RegisterRequest.RECOVER)
+                                ? Map.of(request.name(), incarnations.get(request.name()))
+                                : null);
     }
 
-    private boolean does(String kind, RegisterRequest ask) {
+    private boolean process(String kind, RegisterRequest request) {
         return switch (kind) {
-            case RegisterRequest.CONFIRM -> member && generation == ask.generation();
+            case RegisterRequest.CONFIRM -> member && generation == request.generation();
             case RegisterRequest.RECOVER -> member;
-            case RegisterRequest.PREPARE -> promises(ask);
-            case RegisterRequest.ACCEPT -> votes(ask);
+            case RegisterRequest.PREPARE -> promise(request);
+            case RegisterRequest.ACCEPT -> vote(request);
             case RegisterRequest.LEARN -> {
-                learn(ask.entry(), ask.ballot());
+                learn(request.entry(), request.ballot());
                 yield true;
             }
             case RegisterRequest.PULL -> true;
-            case RegisterRequest.FOUND -> promisesFounding(ask);
-            case RegisterRequest.FOUNDED -> isFounded(ask);
+            case RegisterRequest.FOUND -> promiseFounding(request);
+            case RegisterRequest.FOUNDED -> completeFounding(request);
             default -> false;
         };
     }
 
-    private boolean promises(RegisterRequest ask) {
-        if (!mayVote(ask.generation()) || promised.compareTo(ask.ballot()) > 0) {
+    private boolean promise(RegisterRequest request) {
+        if (!mayVote(request.generation()) || promised.compareTo(request.ballot()) > 0) {
             return false;
         }
-        promised = ask.ballot();
+        promised = request.ballot();
         ballotsReceived++;
         return true;
     }
 
-    private boolean votes(RegisterRequest ask) {
-        if (!mayVote(ask.generation()) || promised.compareTo(ask.ballot()) > 0) {
+    private boolean vote(RegisterRequest request) {
+        if (!mayVote(request.generation()) || promised.compareTo(request.ballot()) > 0) {
             return false;
         }
-        promised = ask.ballot();
-        ballot = ask.ballot();
-        entry = ask.entry();
+        promised = request.ballot();
+        ballot = request.ballot();
+        entry = request.entry();
         ballotsReceived++;
         history.write(
                 "calendar.vote",
@@ -147,40 +151,42 @@
         return true;
     }
 
-    private boolean promisesFounding(RegisterRequest ask) {
-        if (ask.generation() <= Math.max(generation, founding)) {
+    private boolean promiseFounding(RegisterRequest request) {
+        if (request.generation() <= Math.max(generation, foundingGeneration)) {
             return false;
         }
-        if (!founder.equals(ask.name()) || founderIncarnation != ask.incarnation()) {
-            earlier = founding;
-            founder = ask.name();
-            founderIncarnation = ask.incarnation();
+        if (!founder.equals(request.name()) || founderIncarnation != request.incarnation()) {
+            earlierFounding = foundingGeneration;
+            founder = request.name();
+            founderIncarnation = request.incarnation();
         }
-        founding = ask.generation();
+        foundingGeneration = request.generation();
         member = false;
         return true;
     }
 
-    private boolean isFounded(RegisterRequest ask) {
-        if (member && generation == ask.generation()) {
+    private boolean completeFounding(RegisterRequest request) {
+        if (member && generation == request.generation()) {
             return true;
         }
-        if (founding != ask.generation() || member || ask.vector().getOrDefault(self, 0L) != incarnation) {
+        if (foundingGeneration != request.generation()
+                || member
+                || request.vector().getOrDefault(self, 0L) != incarnation) {
             return false;
         }
-        ask.vector().forEach(this::learnIncarnation);
-        begin(ask.generation(), Ballot.ZERO, Ballot.ZERO, ask.entry());
+        request.vector().forEach(this::learnIncarnation);
+        joinGeneration(request.generation(), Ballot.ZERO, Ballot.ZERO, request.entry());
         return true;
     }
 
-    private void begin(long newGeneration, Ballot hasPromised, Ballot votedIn, Entry votedFor) {
+    private void joinGeneration(long newGeneration, Ballot promisedBallot, Ballot votedBallot, Entry votedEntry) {
         generation = newGeneration;
-        founding = Math.max(founding, newGeneration);
-        promised = hasPromised;
-        ballot = votedIn;
-        entry = votedFor;
+        foundingGeneration = Math.max(foundingGeneration, newGeneration);
+        promised = promisedBallot;
+        ballot = votedBallot;
+        entry = votedEntry;
         member = true;
-        holdLearned();
+        adoptLearned();
         history.write(
                 "calendar.member",
                 "generation",
@@ -192,58 +198,60 @@
     }
 
     /**
-     * Takes over what a majority of the others holds: the highest promise, the highest vote and all incarnations.
+     * Takes over the state of a majority of the other routers: the highest promise, the highest vote and all
+     * incarnations.
      *
-     * @param asked   the incarnation that asked
-     * @param replies of a majority of the configured fleet, of one generation, none of a process that is over
-     * @return false where this process is not the one that asked any more, or has promised to found a later generation meanwhile
+     * @param requestingIncarnation the incarnation of this router that sent the requests
+     * @param replies               of a majority of the configured fleet, of one generation, none from an ended process
+     * @return false if this router has another incarnation by now or has promised to found a later generation meanwhile
      */
-    final synchronized boolean recovered(long asked, long inGeneration, Collection<RegisterResponse> replies) {
-        if (asked != incarnation || member || inGeneration < founding) {
+    final synchronized boolean adoptState(
+            long requestingIncarnation, long inGeneration, Collection<RegisterResponse> replies) {
+        if (requestingIncarnation != incarnation || member || inGeneration < foundingGeneration) {
             return false;
         }
-        Ballot most = Ballot.ZERO;
-        RegisterResponse last = null;
+        Ballot highestPromise = Ballot.ZERO;
+        RegisterResponse lastVote = null;
         for (RegisterResponse r : replies) {
-            most = r.promised().compareTo(most) > 0 ? r.promised() : most;
-            last = last == null || r.ballot().compareTo(last.ballot()) > 0 ? r : last;
+            highestPromise = r.promised().compareTo(highestPromise) > 0 ? r.promised() : highestPromise;
+            lastVote = lastVote == null || r.ballot().compareTo(lastVote.ballot()) > 0 ? r : lastVote;
             r.vector().forEach(this::learnIncarnation);
         }
-        begin(inGeneration, most, last.ballot(), last.entry());
+        joinGeneration(inGeneration, highestPromise, lastVote.ballot(), lastVote.entry());
         return true;
     }
 
-    private void learnIncarnation(String name, long itsIncarnation) {
-        vector.merge(name, itsIncarnation, Math::max);
+    private void learnIncarnation(String name, long peerIncarnation) {
+        incarnations.merge(name, peerIncarnation, Math::max);
     }
 
     /**
-     * This process is held to be over, for its clock went back over a restart, or another one has its name: it has no vote any
-     * more.
+     * Discards the state and takes a higher incarnation, because other routers consider this one ended: the clock went
+     * back over a restart, or another process has the same name. The router may not vote until it has recovered again.
      */
-    final synchronized void startOver(long over) {
-        if (over < incarnation) {
+    final synchronized void discardState(long endedIncarnation) {
+        if (endedIncarnation < incarnation) {
             return;
         }
-        incarnation = over + 1;
-        vector.put(self, incarnation);
+        incarnation = endedIncarnation + 1;
+        incarnations.put(self, incarnation);
         member = false;
         generation = 0;
-        founding = 0;
+        foundingGeneration = 0;
         founder = "";
-        earlier = 0;
+        earlierFounding = 0;
         promised = Ballot.ZERO;
         ballot = Ballot.ZERO;
         entry = Entry.NONE;
     }
 
-    /** Something was accepted, as the one says who counted the votes, or one that heard it from there. */
-    final synchronized void learn(Entry accepted, Ballot in) {
-        highest = Math.max(highest, accepted.version().generation());
+    /** Records an accepted entry, as reported by the proposer that counted the votes or by a router that learned it. */
+    final synchronized void learn(Entry accepted, Ballot acceptedBallot) {
+        highestGeneration = Math.max(highestGeneration, accepted.version().generation());
         if (accepted.version().compareTo(learned.version()) > 0) {
             learned = accepted;
-            learnedIn = in;
-            holdLearned();
+            learnedBallot = acceptedBallot;
+            adoptLearned();
             history.write(
                     "calendar.learned",
                     "version",
@@ -254,34 +262,34 @@
     }
 
     /**
-     * What is known to be accepted is held like what was voted for, so that a founding hears of it where those who voted are
-     * gone. No later ballot can have anything that does not follow from it.
+     * Stores a learned entry as if this router had voted for it, so that a founding includes it even if the routers
+     * that voted are gone. This is safe because every later ballot can only carry an entry that follows from it.
      */
-    private void holdLearned() {
-        if (member && learned.version().generation() == generation && learnedIn.compareTo(ballot) > 0) {
-            ballot = learnedIn;
-            promised = learnedIn.compareTo(promised) > 0 ? learnedIn : promised;
+    private void adoptLearned() {
+        if (member && learned.version().generation() == generation && learnedBallot.compareTo(ballot) > 0) {
+            ballot = learnedBallot;
+            promised = learnedBallot.compareTo(promised) > 0 ? learnedBallot : promised;
             entry = learned;
         }
     }
 
-    /** Hash of the windows in this router's own file. */
-    final synchronized void file(String hash) {
-        file = hash;
+    /** Sets the hash of the windows in this router's own file. */
+    final synchronized void setFileHash(String hash) {
+        fileHash = hash;
     }
 
     final synchronized Entry learned() {
         return learned;
     }
 
-    /** Grows with each promise and vote. */
+    /** The number of promises and votes so far. */
     final synchronized long ballotsReceived() {
         return ballotsReceived;
     }
 
-    /** The last generation that it heard of in any way. */
-    final synchronized long highest() {
-        return Math.max(highest, Math.max(generation, founding));
+    /** The highest generation seen in any message or founded so far. */
+    final synchronized long highestGeneration() {
+        return Math.max(highestGeneration, Math.max(generation, foundingGeneration));
     }
 
     final synchronized boolean isMember() {
@@ -300,8 +308,8 @@
         return promised;
     }
 
-    /** The last incarnation of another that it knows of; 0 for none. */
-    final synchronized long known(String name) {
-        return vector.getOrDefault(name, 0L);
+    /** The last known incarnation of another router; 0 for none. */
+    final synchronized long incarnationOf(String name) {
+        return incarnations.getOrDefault(name, 0L);
     }
 }
--- a/router/src/main/java/stagepier/freeze/AgreedSequence.java
+++ b/router/src/main/java/stagepier/freeze/AgreedSequence.java
@@ -8,20 +8,21 @@
 import stagepier.tasks.Tasks;
 
 /**
- * A second sequence of texts that the fleet agrees on, by the same ballots as the calendar, under a name of its own: calls and
- * events of the register are renamed on their way. Where a majority forgets at once, what was agreed is forgotten, too, or unknown
- * until it is proposed again; what this process learnt it keeps.
+ * A second sequence of texts that the fleet agrees on with the protocol of the calendar, under a topic of its own: the
+ * kinds of calls and the names of history events are rewritten from the calendar's to the topic's. If a majority loses
+ * its state at the same time, the agreed text is lost as well, or unknown until it is proposed again; a process keeps
+ * the text it has learned.
  */
 public final class AgreedSequence {
-    /** What the fleet begins with: nothing agreed. */
-    private static final String NOTHING = "";
+    /** The text that a newly founded fleet starts with; it stands for no agreed text. */
+    private static final String INITIAL_TEXT = "";
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
     /**
-     * The last text that this router has learnt.
+     * The last text that this router has learned.
      *
-     * @param version grows with each
+     * @param version grows with each accepted text
      */
     public record Last(long version, String text) {}
 
@@ -30,57 +31,58 @@
     private volatile Last last;
 
     /**
-     * @param topic name of the sequence, and the part of the calls that it is
-     * @param seed  as that of the calendar, another one
+     * @param topic name of the sequence, and the part under which its calls are sent
+     * @param seed  for random waits and the incarnation; different from that of the calendar
      */
     public AgreedSequence(String topic, Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
         this.tasks = tasks;
-        History renamed = (event, values) -> history.write(rename(event, RegisterRequest.PART, topic), values);
+        History renamedHistory = (event, values) -> history.write(rename(event, RegisterRequest.PART, topic), values);
         Acceptor acceptor = new Acceptor(
                 config.self(),
                 Incarnations.first(tasks.wall(), seed),
                 () -> tasks.wall().millis(),
-                renamed);
+                renamedHistory);
         register = new Register(
                 tasks,
-                new Renamed(calls, topic),
+                new RenamingRpc(calls, topic),
                 config,
-                renamed,
+                renamedHistory,
                 acceptor,
                 new Register.Listener() {
                     @Override
-                    public void confirmed(Entry accepted, long startNano, long startWallMs, Clocks.Offset offset) {
-                        if (accepted.text() != null && !accepted.text().equals(NOTHING)) {
+                    public void confirmed(
+                            Entry accepted, long startNano, long startWallMs, ClockComparison.Offset offset) {
+                        if (accepted.text() != null && !accepted.text().equals(INITIAL_TEXT)) {
                             last = new Last(accepted.version().packed(), accepted.text());
                         }
                     }
 
                     @Override
-                    public void unconfirmed(String why) {
-                        // What was learnt stays: a text is agreed for good.
+                    public void unconfirmed(String reason) {
+                        // An agreed text stays valid without a lease.
                     }
                 },
-                NOTHING,
+                INITIAL_TEXT,
                 seed);
     }
 
-    /** Before the calls start. */
+    /** Starts the register. To be called before the RPC layer starts. */
     public void start() {
         register.start();
     }
 
-    /** Null where none is known. */
+    /** Returns the last learned text, or null if there is none. */
     public Last last() {
         return last;
     }
 
-    /** @return whether it was accepted within that time, as far as is known; where not, it may still be */
-    public boolean propose(String text, Duration most) throws InterruptedException {
+    /** @return whether the text is known to be accepted within the timeout; if not, it may still be accepted later */
+    public boolean propose(String text, Duration timeout) throws InterruptedException {
         register.propose(text);
-        for (long until = tasks.nanoTime() + most.toNanos(); tasks.nanoTime() - until < 0; ) {
-            tasks.sleep(LOOK);
-            Last now = last;
-            if (now != null && now.text().equals(text)) {
+        for (long deadline = tasks.nanoTime() + timeout.toNanos(); tasks.nanoTime() - deadline < 0; ) {
+            tasks.sleep(POLL_INTERVAL);
+            Last current = last;
+            if (current != null && current.text().equals(text)) {
                 return true;
             }
         }
@@ -91,22 +93,22 @@
         return kind.startsWith(from + ".") ? to + kind.substring(from.length()) : kind;
     }
 
-    /** The calendar's calls under another name. */
-    private record Renamed(FleetRpc calls, String topic) implements FleetRpc {
+    /** Rewrites the kinds of calls between the calendar's and the topic's. */
+    private record RenamingRpc(FleetRpc calls, String topic) implements FleetRpc {
         @Override
-        public void answer(String part, Handler answerer) {
-            calls.answer(topic, (from, call) -> out(answerer.answer(from, in(call))));
+        public void answer(String part, Handler handler) {
+            calls.answer(topic, (from, call) -> out(handler.answer(from, in(call))));
         }
 
         @Override
         public void start() {
-            // Whoever owns the calls does.
+            // The owner of the wrapped RPC layer starts it.
         }
 
         @Override
-        public Message call(String member, Message message, Duration most)
+        public Message call(String member, Message message, Duration timeout)
                 throws NoReplyException, InterruptedException {
-            return in(calls.call(member, out(message), most));
+            return in(calls.call(member, out(message), timeout));
         }
 
         private Message out(Message message) {
--- a/router/src/main/java/stagepier/freeze/Ballot.java
+++ b/router/src/main/java/stagepier/freeze/Ballot.java
@@ -1,11 +1,12 @@
 package stagepier.freeze;
 
 /**
- * One attempt of one router to have something accepted; never used twice, for a router that starts again has another incarnation.
+ * The number of one attempt of one router to have an entry accepted. Unique, since a restarted router has another
+ * incarnation.
  *
  * @param round       grows with each attempt
- * @param name        of the router
- * @param incarnation of it
+ * @param name        name of the router
+ * @param incarnation incarnation of the router
  */
 record Ballot(long round, String name, long incarnation) implements Comparable<Ballot> {
     static final Ballot ZERO = new Ballot(0, "", 0);
--- a/router/src/main/java/stagepier/freeze/Calendar.java
+++ b/router/src/main/java/stagepier/freeze/Calendar.java
@@ -3,25 +3,27 @@
 import java.time.Instant;
 
 /**
- * The calendar as this router holds it, at one moment. Immutable; the event loop reads it without waiting.
+ * A snapshot of the calendar that this router holds. Immutable; the event loop reads it without blocking.
  */
 public interface Calendar {
-    /** Whether a voluntary change may be taken up. */
+    /** Whether a voluntary change may be applied. */
     enum Permit {
         OPEN,
-        /** A window holds. */
+        /** A freeze window is active. */
         FROZEN,
-        /** No majority confirmed the calendar within the lease: treated as frozen. */
+        /**
+         * The calendar cannot be relied on, such as when no majority confirmed it within the lease; treated as frozen.
+         */
         UNKNOWN
     }
 
     /**
-     * @param permit what holds for the change
-     * @param reason of the window, or why nothing is known; "" where open
+     * @param permit whether the change may be applied
+     * @param reason of the window, or why the calendar is unknown; "" if open
      */
     record Answer(Permit permit, String reason) {}
 
-    /** No calendar is configured: all is open. */
+    /** Used when no calendar is configured; permits every change. */
     Calendar NONE = new Calendar() {
         @Override
         public long version() {
@@ -34,12 +36,14 @@
         }
     };
 
-    /** The accepted version that is held; 0 for none. */
+    /** Returns the accepted version that this snapshot holds; 0 for none. */
     long version();
 
     /**
-     * @param wall     now, by the wall clock of this machine
-     * @param nanoTime now, in the time of {@code Tasks}: by it the lease runs out
+     * Returns whether a change may be applied now.
+     *
+     * @param wall     the current time by the wall clock of this machine
+     * @param nanoTime the current time of {@code Tasks}, by which the lease expires
      */
     Answer ask(Change change, Instant wall, long nanoTime);
 }
--- a/router/src/main/java/stagepier/freeze/Change.java
+++ b/router/src/main/java/stagepier/freeze/Change.java
@@ -1,13 +1,16 @@
 package stagepier.freeze;
 
 /**
- * A change of topology that somebody asks this router to take up.
+ * A requested change of topology.
  *
- * @param server id of the cache server as the list has it, or "" where the change is of none
- * @param zone   of that server, or ""
+ * @param server id of the cache server as in the server list, or "" if the change concerns no single server
+ * @param zone   zone of that server, or ""
  */
 public record Change(Kind kind, String server, String zone) {
-    /** What is changed. Those that are not voluntary pass in any state of the calendar and are never asked about. */
+    /**
+     * The kind of a voluntary change. Involuntary changes are applied in any state of the calendar and have no kind
+     * here.
+     */
     public enum Kind {
         ADD_SERVER,
         WEIGHT,
--- a/router/src/main/java/stagepier/freeze/Entry.java
+++ b/router/src/main/java/stagepier/freeze/Entry.java
@@ -6,16 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * A calendar with its place in the sequence.
+ * A calendar with its position in the sequence of accepted calendars.
  *
- * @param text the windows, canonical; null where the fleet was founded and something accepted may have been lost
- * @param done the last proposal of each router that is in this or an earlier one: so none is ordered twice
+ * @param text the windows in canonical form; null if the fleet was founded again and an accepted calendar may have been
+ *             lost
+ * @param done the last proposal of each router that this or an earlier entry contains, so that no proposal is applied
+ *             twice
  */
 record Entry(Version version, String text, SortedMap<String, String> done) {
-    /** Nothing is accepted: a process without a memory. */
+    /** The entry of a process without state: no calendar is accepted. */
     static final Entry NONE = new Entry(Version.NONE, null, Collections.emptySortedMap());
 
-    boolean holds(String proposer, String proposal) {
+    boolean contains(String proposer, String proposal) {
         return proposal.equals(done.get(proposer));
     }
 
@@ -25,7 +27,7 @@
         return new Entry(version.next(), newText, all);
     }
 
-    /** What a founding begins with. */
+    /** Returns the first entry of a generation. */
     static Entry founded(long generation, String text, Map<String, String> done) {
         return new Entry(new Version(generation, text == null ? 0 : 1), text, new TreeMap<>(done));
     }
--- a/router/src/main/java/stagepier/freeze/Fanout.java
+++ b/router/src/main/java/stagepier/freeze/Fanout.java
@@ -16,168 +16,173 @@
 import stagepier.tasks.Tasks;
 
 /**
- * Asks many routers at once: a few tasks make the calls, so that one that is silent keeps no other one waiting. Those that
- * answered last time are asked first.
+ * Sends a request to many routers concurrently. A pool of tasks makes the calls, so that an unresponsive router does
+ * not delay the calls to others. Routers that answered their last call are queried first.
  */
 final class Fanout {
-    private static final int WORKERS_MOST = 16;
-    private static final Duration IDLE = Duration.ofHours(1);
+    private static final int MAX_WORKERS = 16;
+    private static final Duration IDLE_WAIT = Duration.ofHours(1);
 
-    private record Errand(String to, Message message, long until, Round round) {}
+    private record PendingCall(String to, Message message, long deadline, Round round) {}
 
-    /** Takes the replies to one question; what comes after its end is left. */
+    /** Collects the replies to one request; replies that arrive after the round has finished are ignored. */
     private static final class Round {
         private final Tally tally;
-        private final Predicate<Tally> enough;
-        private final Mailbox<Boolean> ended;
-        private int open;
-        private boolean over;
+        private final Predicate<Tally> complete;
+        private final Mailbox<Boolean> completion;
+        private int outstanding;
+        private boolean finished;
 
-        Round(Tally tally, Predicate<Tally> enough, int open, Mailbox<Boolean> ended) {
+        Round(Tally tally, Predicate<Tally> complete, int outstanding, Mailbox<Boolean> completion) {
             this.tally = tally;
-            this.enough = enough;
-            this.open = open;
-            this.ended = ended;
+            this.complete = complete;
+            this.outstanding = outstanding;
+            this.completion = completion;
         }
 
-        /** @param reply null where none came, or one that makes no sense */
-        synchronized void take(String from, RegisterResponse reply) {
-            if (over) {
+        /** @param reply null if there was none or it was malformed */
+        synchronized void accept(String from, RegisterResponse reply) {
+            if (finished) {
                 return;
             }
             if (reply != null) {
                 tally.add(from, reply);
             }
-            open--;
-            if (open == 0 || enough.test(tally)) {
-                over = true;
-                ended.put(true);
+            outstanding--;
+            if (outstanding == 0 || complete.test(tally)) {
+                finished = true;
+                completion.put(true);
             }
         }
 
         synchronized void end() {
-            over = true;
+            finished = true;
         }
     }
 
     private final Tasks tasks;
     private final FleetRpc calls;
     private final Collection<String> others;
-    private final Map<String, Boolean> silent = new ConcurrentHashMap<>();
-    /** Tasks that have nothing to do, each by what wakes it; what is to be done lies in {@code errands}. */
+    private final Map<String, Boolean> unresponsive = new ConcurrentHashMap<>();
+    /** The wake-up mailboxes of idle tasks; calls to be made are queued in {@code pendingCalls}. */
     private final ConcurrentLinkedQueue<Mailbox<Boolean>> idle = new ConcurrentLinkedQueue<>();
 
-    private final ConcurrentLinkedQueue<Errand> errands = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
-    private final int most;
+    private final ConcurrentLinkedQueue<PendingCall> pendingCalls = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger queued = new AtomicInteger();
+    private final int maxQueued;
 
     Fanout(Tasks tasks, FleetRpc calls, Collection<String> others) {
         this.tasks = tasks;
         this.calls = calls;
         this.others = others;
-        most = Math.max(16, others.size() * 8);
+        maxQueued = Math.max(16, others.size() * 8);
     }
 
     void start() {
-        for (int i = 0; i < Math.min(WORKERS_MOST, others.size()); i++) {
-            Mailbox<Boolean> wake = tasks.mailbox(1);
-            tasks.start("calendar-call-" + i, () -> work(wake));
+        for (int i = 0; i < Math.min(MAX_WORKERS, others.size()); i++) {
+            Mailbox<Boolean> wakeup = tasks.mailbox(1);
+            tasks.start("calendar-call-" + i, () -> work(wakeup));
         }
     }
 
-    private void work(Mailbox<Boolean> wake) throws InterruptedException {
+    private void work(Mailbox<Boolean> wakeup) throws InterruptedException {
         while (true) {
-            Errand errand = errands.poll();
-            if (errand == null) {
-                idle.add(wake);
-                // Sent between the look and the word that this one is idle.
-                errand = errands.poll();
-                if (errand == null) {
-                    wake.take(IDLE);
+            PendingCall pending = pendingCalls.poll();
+            if (pending == null) {
+                idle.add(wakeup);
+                // A call may have been queued between the first poll and the registration as idle.
+                pending = pendingCalls.poll();
+                if (pending == null) {
+                    wakeup.take(IDLE_WAIT);
                 }
-                idle.remove(wake);
+                idle.remove(wakeup);
             }
-            if (errand != null) {
-                waiting.decrementAndGet();
-                errand.round().take(errand.to(), ask(errand));
+            if (pending != null) {
+                queued.decrementAndGet();
+                pending.round().accept(pending.to(), execute(pending));
             }
         }
     }
 
-    private boolean send(Errand errand) {
-        if (waiting.get() >= most) {
+    private boolean send(PendingCall pending) {
+        if (queued.get() >= maxQueued) {
             return false;
         }
-        waiting.incrementAndGet();
-        errands.add(errand);
-        Mailbox<Boolean> one = idle.poll();
-        if (one != null) {
-            one.put(true);
+        queued.incrementAndGet();
+        pendingCalls.add(pending);
+        Mailbox<Boolean> worker = idle.poll();
+        if (worker != null) {
+            worker.put(true);
         }
         return true;
     }
 
-    private RegisterResponse ask(Errand errand) throws InterruptedException {
-        long left = errand.until() - tasks.nanoTime();
+    private RegisterResponse execute(PendingCall pending) throws InterruptedException {
+        long left = pending.deadline() - tasks.nanoTime();
         if (left <= 0) {
             return null;
         }
         try {
-            RegisterResponse reply = calls.call(errand.to(), errand.message(), Duration.ofNanos(left))
+            RegisterResponse reply = calls.call(pending.to(), pending.message(), Duration.ofNanos(left))
                     .read(RegisterResponse.class);
-            silent.remove(errand.to());
-            return reply.whole() ? reply : null;
+            unresponsive.remove(pending.to());
+            return reply.isComplete() ? reply : null;
         } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
-            silent.put(errand.to(), true);
+            unresponsive.put(pending.to(), true);
             return null;
         }
     }
 
     /**
-     * Asks all others.
+     * Queries all other routers and waits for the end of the round.
      *
-     * @param call   what each is asked
-     * @param most   by then the round is over
-     * @param enough looked at after each reply: the round is over where it holds
-     * @param tally  takes the replies
+     * @param call     makes the request for a router
+     * @param timeout  after which the round ends
+     * @param tally    collects the replies
+     * @param complete evaluated after each reply; ends the round if true
      */
-    void ask(Function<String, Message> call, Duration most, Tally tally, Predicate<Tally> enough)
+    void query(Function<String, Message> call, Duration timeout, Tally tally, Predicate<Tally> complete)
             throws InterruptedException {
-        ask(order(), call, most, tally, enough);
+        query(order(), call, timeout, tally, complete);
     }
 
-    /** Asks only some. */
-    void ask(List<String> whom, Function<String, Message> call, Duration most, Tally tally, Predicate<Tally> enough)
+    /** Queries only the given routers. */
+    void query(
+            List<String> peers,
+            Function<String, Message> call,
+            Duration timeout,
+            Tally tally,
+            Predicate<Tally> complete)
             throws InterruptedException {
-        if (whom.isEmpty() || enough.test(tally)) {
+        if (peers.isEmpty() || complete.test(tally)) {
             return;
         }
-        long until = tasks.nanoTime() + most.toNanos();
-        Round round = new Round(tally, enough, whom.size(), tasks.mailbox(1));
-        for (String name : whom) {
-            if (!send(new Errand(name, call.apply(name), until, round))) {
-                round.take(name, null);
+        long deadline = tasks.nanoTime() + timeout.toNanos();
+        Round round = new Round(tally, complete, peers.size(), tasks.mailbox(1));
+        for (String name : peers) {
+            if (!send(new PendingCall(name, call.apply(name), deadline, round))) {
+                round.accept(name, null);
             }
         }
-        Boolean ended = null;
-        for (long left = most.toNanos(); ended == null && left > 0; left = until - tasks.nanoTime()) {
-            ended = round.ended.take(Duration.ofNanos(left));
+        Boolean completion = null;
+        for (long left = timeout.toNanos(); completion == null && left > 0; left = deadline - tasks.nanoTime()) {
+            completion = round.completion.take(Duration.ofNanos(left));
         }
         round.end();
     }
 
-    /** Sends to all others, and waits for no reply. */
+    /** Sends a message to all other routers without waiting for replies. */
     void broadcast(Function<String, Message> call, Duration within) {
-        long until = tasks.nanoTime() + within.toNanos();
-        Round nobodyWaits = new Round(new Tally(), t -> false, others.size(), tasks.mailbox(1));
-        order().forEach(name -> send(new Errand(name, call.apply(name), until, nobodyWaits)));
+        long deadline = tasks.nanoTime() + within.toNanos();
+        Round ignoredRound = new Round(new Tally(), t -> false, others.size(), tasks.mailbox(1));
+        order().forEach(name -> send(new PendingCall(name, call.apply(name), deadline, ignoredRound)));
     }
 
-    /** Those that answered last first. */
+    /** Returns the other routers, those that answered their last call first. */
     List<String> order() {
         List<String> order = new ArrayList<>();
-        others.stream().filter(name -> !silent.containsKey(name)).forEach(order::add);
-        others.stream().filter(silent::containsKey).forEach(order::add);
+        others.stream().filter(name -> !unresponsive.containsKey(name)).forEach(order::add);
+        others.stream().filter(unresponsive::containsKey).forEach(order::add);
         return order;
     }
 }
--- a/router/src/main/java/stagepier/freeze/FleetBootstrap.java
+++ b/router/src/main/java/stagepier/freeze/FleetBootstrap.java
@@ -13,13 +13,17 @@
 import stagepier.tasks.Tasks;
 
 /**
- * Founds the fleet anew where no majority with a memory is left: by all configured routers together, so that whatever survived is
- * heard of. Since all are needed, it is always the first of them by name that does it, and no two compete.
+ * Founds the fleet as a new generation when no majority of the routers has state, as at the first start. All configured
+ * routers have to take part, so that any surviving state is found. Since all are needed, the first router by name
+ * always runs the founding and no two routers compete.
  */
 final class FleetBootstrap {
     private static final Logger LOG = LoggerFactory.getLogger(FleetBootstrap.class);
-    /** So many rounds in a row have to show that no majority has a memory: one that is just recovering shall end that. */
-    private static final int ROUNDS = 2;
+    /**
+     * Number of consecutive rounds that have to show that no majority has state, so that a router that is just
+     * recovering does not cause a founding.
+     */
+    private static final int REQUIRED_FAILED_ROUNDS = 2;
 
     private final Register register;
     private final Acceptor acceptor;
@@ -27,9 +31,9 @@
     private final int majority;
     private final Tasks tasks;
     private final String self;
-    private final boolean mine;
-    private int shown;
-    private long lastSent;
+    private final boolean isFounder;
+    private int failedRounds;
+    private long lastFoundedGeneration;
     private String fileText;
 
     FleetBootstrap(Register register, Acceptor acceptor, FleetConfig config, Tasks tasks) {
@@ -39,103 +43,110 @@
         names = config.members().keySet();
         majority = config.majority();
         self = config.self();
-        mine = config.members().firstKey().equals(self);
+        isFounder = config.members().firstKey().equals(self);
     }
 
-    /** Whether it is this router that founds. */
-    boolean isMine() {
-        return mine;
+    /** Whether this router is the one that runs foundings. */
+    boolean isFounder() {
+        return isFounder;
     }
 
-    /** This router's own file was read again. */
-    synchronized void file(String text) {
+    /** Sets the text of this router's own file after it was read. */
+    synchronized void setFileText(String text) {
         fileText = text;
     }
 
-    private synchronized String file() {
+    private synchronized String fileText() {
         return fileText;
     }
 
-    /** Looks at a round of this router that failed. */
-    void consider(Tally tally) throws InterruptedException {
-        if (!mine) {
+    /** Founds the fleet if this failed round and the ones before it show that no majority has state. */
+    void onFailedRound(Tally tally) throws InterruptedException {
+        if (!isFounder) {
             return;
         }
-        long others =
-                tally.all().keySet().stream().filter(name -> !name.equals(self)).count();
-        long last = tally.all().values().stream()
+        long otherReplies = tally.replies().keySet().stream()
+                .filter(name -> !name.equals(self))
+                .count();
+        long last = tally.replies().values().stream()
                 .mapToLong(RegisterResponse::generation)
                 .max()
                 .orElse(0);
-        long remember = tally.all().values().stream()
+        long members = tally.replies().values().stream()
                 .filter(r -> r.member() && r.generation() == last)
                 .count();
-        shown = others == names.size() - 1 && remember < majority ? shown + 1 : 0;
-        if (shown >= ROUNDS) {
-            shown = 0;
-            found(tally);
+        failedRounds = otherReplies == names.size() - 1 && members < majority ? failedRounds + 1 : 0;
+        if (failedRounds >= REQUIRED_FAILED_ROUNDS) {
+            failedRounds = 0;
+            foundFleet(tally);
         }
     }
 
-    /** The latest time in milliseconds that a router knows of: by its clock, of its start, or as a generation. */
-    private static long latest(RegisterResponse r) {
+    /** The latest time that a router knows of, in milliseconds: its clock, its start, or a generation. */
+    private static long latestTimeMs(RegisterResponse r) {
         return Math.max(Math.max(r.highest(), r.wall()), r.incarnation() >> Incarnations.LOW_BITS);
     }
 
-    private void found(Tally before) throws InterruptedException {
-        long highest = before.all().values().stream()
-                .mapToLong(FleetBootstrap::latest)
+    private void foundFleet(Tally failedRound) throws InterruptedException {
+        long highest = failedRound.replies().values().stream()
+                .mapToLong(FleetBootstrap::latestTimeMs)
                 .max()
                 .orElse(0);
-        long generation =
-                Math.max(Math.max(highest, lastSent) + 1, Math.max(tasks.wall().millis(), acceptor.highest() + 1));
-        Tally promises = register.every(RegisterRequest.FOUND, to -> register.ask(to, generation, null, null));
-        Map<String, RegisterResponse> all = promises.standing(r -> r.ok() && r.entry() != null && r.vector() != null);
+        long generation = Math.max(
+                Math.max(highest, lastFoundedGeneration) + 1,
+                Math.max(tasks.wall().millis(), acceptor.highestGeneration() + 1));
+        Tally promises = register.queryAll(RegisterRequest.FOUND, to -> register.request(to, generation, null, null));
+        Map<String, RegisterResponse> all = promises.valid(r -> r.ok() && r.entry() != null && r.vector() != null);
         if (all.size() < names.size()) {
-            LOG.info("calendar: {} of {} routers would found the fleet anew; all are needed", all.size(), names.size());
+            LOG.info(
+                    "calendar: cannot found the fleet: {} of {} routers agreed, all are needed",
+                    all.size(),
+                    names.size());
             return;
         }
-        Entry base = base(generation, all);
+        Entry initial = initialEntry(generation, all);
         Map<String, Long> incarnations = new HashMap<>();
         all.forEach((name, reply) -> incarnations.put(name, reply.incarnation()));
-        lastSent = generation;
-        Tally founded =
-                register.every(RegisterRequest.FOUNDED, to -> register.founded(to, generation, base, incarnations));
+        lastFoundedGeneration = generation;
+        Tally founded = register.queryAll(
+                RegisterRequest.FOUNDED, to -> register.foundedRequest(to, generation, initial, incarnations));
         LOG.info(
-                "calendar: the fleet was founded anew as generation {} with {} of {} routers, {}",
+                "calendar: fleet founded as generation {}, confirmed by {} of {} routers; {}",
                 generation,
                 founded.agreed().size(),
                 names.size(),
-                base.text() == null ? "closed until staff propose a calendar" : "going on");
+                initial.text() == null
+                        ? "closed until an operator proposes a calendar"
+                        : "the calendar stays in force");
     }
 
-    /** What the new generation begins with. */
-    private Entry base(long generation, Map<String, RegisterResponse> all) {
+    /** Returns the first entry of the new generation. */
+    private Entry initialEntry(long generation, Map<String, RegisterResponse> all) {
         Optional<RegisterResponse> best = all.values().stream()
                 .filter(r -> r.generation() > 0)
                 .max(Comparator.comparingLong(RegisterResponse::generation).thenComparing(RegisterResponse::ballot));
-        Entry survived = best.map(RegisterResponse::entry).orElse(Entry.NONE);
+        Entry surviving = best.map(RegisterResponse::entry).orElse(Entry.NONE);
         long last = Math.max(
-                lastSent,
+                lastFoundedGeneration,
                 all.values().stream()
                         .mapToLong(r -> Math.max(r.generation(), r.earlier()))
                         .max()
                         .orElse(0));
-        long remember = all.values().stream()
+        long members = all.values().stream()
                 .filter(r -> last > 0 && r.generation() == last)
                 .count();
-        if (names.size() - remember < majority) {
-            // At least one of any majority remembers: nothing that was accepted is lost.
-            return Entry.founded(generation, survived.text(), survived.done());
+        if (names.size() - members < majority) {
+            // Every majority contains a router with state of the last generation, so no accepted entry is lost.
+            return Entry.founded(generation, surviving.text(), surviving.done());
         }
-        // Something accepted may be lost. The file that held it lies at the router where it was proposed, or staff have
-        // replaced it.
+        // An accepted entry may be lost. Its file is still at the router where it was proposed, unless operators have
+        // replaced it, so the text is taken over only if all files agree.
         List<String> files =
                 all.values().stream().map(RegisterResponse::file).distinct().toList();
-        String text = file();
-        boolean alike = files.size() == 1
+        String text = fileText();
+        boolean filesAgree = files.size() == 1
                 && Objects.equals(files.get(0), Windows.hash(text))
-                && (survived.text() == null || survived.text().equals(text));
-        return Entry.founded(generation, alike ? text : null, survived.done());
+                && (surviving.text() == null || surviving.text().equals(text));
+        return Entry.founded(generation, filesAgree ? text : null, surviving.done());
     }
 }
--- a/router/src/main/java/stagepier/freeze/FreezeService.java
+++ b/router/src/main/java/stagepier/freeze/FreezeService.java
@@ -15,12 +15,15 @@
 import stagepier.settings.SettingsException;
 import stagepier.tasks.Tasks;
 
-/** The freeze calendar of one router: its own file, the agreement with the others, and what the event loop may rely on. */
+/**
+ * The freeze calendar of one router: its own file, the agreement with the fleet, and the snapshot that the event loop
+ * reads.
+ */
 public final class FreezeService implements FleetService {
     private static final Logger LOG = LoggerFactory.getLogger(FreezeService.class);
 
-    /** A server that comes new is filled by its share of the misses in about this time. */
-    private static final Duration SPACING_LEAST = Duration.ofSeconds(2);
+    /** Minimum interval between held changes: a new server is filled by its share of the misses in about this time. */
+    private static final Duration MIN_INTERVAL = Duration.ofSeconds(2);
 
     private final Tasks tasks;
     private final FleetConfig config;
@@ -29,21 +32,21 @@
     private final Supplier<Windows> source;
     private final Acceptor acceptor;
     private final Register register;
-    private volatile Windows own;
+    private volatile Windows ownWindows;
     private volatile LeasedCalendar calendar = LeasedCalendar.closed(Version.NONE, "not confirmed since the start");
     private volatile long confirmedNano;
     private volatile boolean wasConfirmed;
-    private volatile String why = "not confirmed since the start";
-    private volatile IntSupplier held = () -> 0;
-    /** Whether it was said that the calendar is unknown. */
+    private volatile String unknownReason = "not confirmed since the start";
+    private volatile IntSupplier heldCount = () -> 0;
+    /** Whether a warning that the calendar is unknown has been logged. */
     private boolean unknownReported;
 
     /**
      * Reads the router's own file.
      *
-     * @param config with a calendar's file
-     * @param seed   for what is drawn: waits after ballots that met another, low bits of the incarnation
-     * @throws IllegalArgumentException where the file cannot be read or makes no sense: one line
+     * @param config with the path of a calendar file
+     * @param seed   for random values: back-off after competing ballots, low bits of the incarnation
+     * @throws IllegalArgumentException if the file cannot be read or is invalid; the message is one line
      */
     public FreezeService(Tasks tasks, FleetRpc calls, FleetConfig config, History history, long seed) {
         this(
@@ -75,7 +78,7 @@
         this.source = source;
         file = config.calendar();
         try {
-            own = source.get();
+            ownWindows = source.get();
         } catch (SettingsException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
@@ -87,46 +90,47 @@
                 acceptor,
                 new Register.Listener() {
                     @Override
-                    public void confirmed(Entry accepted, long startNano, long startWallMs, Clocks.Offset offset) {
-                        FreezeService.this.confirmed(accepted, startNano, startWallMs, offset);
+                    public void confirmed(
+                            Entry accepted, long startNano, long startWallMs, ClockComparison.Offset offset) {
+                        FreezeService.this.onConfirmed(accepted, startNano, startWallMs, offset);
                     }
 
                     @Override
                     public void unconfirmed(String reason) {
-                        why = reason;
-                        sayWhenOver();
+                        unknownReason = reason;
+                        warnWhenLeaseExpired();
                     }
                 },
-                own.text(),
+                ownWindows.text(),
                 seed);
     }
 
-    /** What is accepted and can be relied on now; the event loop takes a new one each time that it asks. */
+    /** Returns the current snapshot; the event loop fetches it anew for each query. */
     public Calendar calendar() {
         return calendar;
     }
 
-    /** The last version that this router knows to be accepted. */
+    /** Returns the last version that this router knows to be accepted. */
     Version learned() {
         return acceptor.learned().version();
     }
 
-    /** The last version that this router knows to be accepted, packed; 0 for none. For the view of the fleet. */
+    /** Returns the last version that this router knows to be accepted, packed; 0 for none. For the fleet view. */
     public long version() {
         return acceptor.learned().version().packed();
     }
 
-    /** What holds changes for the event loop by this calendar; {@code STATUS} counts them. Once. */
+    /** Creates the queue of changes held by this calendar, whose size {@code STATUS} shows. To be called once. */
     public <T> HeldChanges<T> holder() {
         HeldChanges<T> holder = new HeldChanges<>(
                 this::calendar, history, Register.fleet(config).hashCode(), interval());
-        held = holder::size;
+        heldCount = holder::size;
         return holder;
     }
 
-    /** Between two held changes that are taken up once the calendar opens. */
+    /** Returns the interval between two held changes that are applied after the calendar opens. */
     Duration interval() {
-        return config.skew().compareTo(SPACING_LEAST) > 0 ? config.skew() : SPACING_LEAST;
+        return config.skew().compareTo(MIN_INTERVAL) > 0 ? config.skew() : MIN_INTERVAL;
     }
 
     @Override
@@ -138,36 +142,36 @@
     @Override
     public void reload() {
         try {
-            own = source.get();
+            ownWindows = source.get();
         } catch (SettingsException e) {
-            LOG.error("{}; the calendar stays as it was", e.getMessage());
+            LOG.error("{}; keeping the current calendar", e.getMessage());
             return;
         }
         Entry learned = acceptor.learned();
-        if (own.text().equals(learned.text())) {
-            LOG.info("calendar: {} says what is accepted as {}", file, learned.version());
-            register.same(own.text());
+        if (ownWindows.text().equals(learned.text())) {
+            LOG.info("calendar: {} equals the accepted calendar {}", file, learned.version());
+            register.fileReloaded(ownWindows.text());
             return;
         }
-        LOG.info("calendar: {} is proposed to the fleet", file);
-        register.propose(own.text());
+        LOG.info("calendar: proposing {} to the fleet", file);
+        register.propose(ownWindows.text());
     }
 
-    private void confirmed(Entry accepted, long startNano, long startWallMs, Clocks.Offset offset) {
+    private void onConfirmed(Entry accepted, long startNano, long startWallMs, ClockComparison.Offset offset) {
         if (accepted.text() == null) {
-            close(
+            closeCalendar(
                     accepted.version(),
                     "the fleet was founded anew and what was accepted may be lost: propose the calendar (SIGHUP)");
             return;
         }
-        if (!offset.good()) {
-            close(accepted.version(), "the wall clock is " + offset + " against the middle of a majority");
+        if (!offset.withinSkew()) {
+            closeCalendar(accepted.version(), "the wall clock is " + offset + " against the middle of a majority");
             return;
         }
-        LeasedCalendar again = calendar.again(accepted.version(), startNano, startWallMs);
-        if (again == null) {
+        LeasedCalendar renewed = calendar.renew(accepted.version(), startNano, startWallMs);
+        if (renewed == null) {
             try {
-                again = LeasedCalendar.of(
+                renewed = LeasedCalendar.of(
                         accepted.version(),
                         Windows.read(accepted.text()),
                         startNano,
@@ -175,16 +179,17 @@
                         config.lease(),
                         config.skew());
             } catch (IllegalArgumentException e) {
-                close(accepted.version(), "the accepted calendar cannot be read by this build");
+                closeCalendar(accepted.version(), "the accepted calendar cannot be read by this build");
                 return;
             }
-            tellWindows(accepted);
-            if (!accepted.text().equals(own.text())) {
-                LOG.info("calendar: {} is accepted; {} says something else", accepted.version(), file);
+            recordWindows(accepted);
+            if (!accepted.text().equals(ownWindows.text())) {
+                LOG.info("calendar: {} accepted; this router's file {} differs", accepted.version(), file);
             }
         }
-        boolean news = !wasConfirmed || unknownReported || !calendar.accepted().equals(accepted.version());
-        calendar = again;
+        boolean changed =
+                !wasConfirmed || unknownReported || !calendar.accepted().equals(accepted.version());
+        calendar = renewed;
         confirmedNano = startNano;
         wasConfirmed = true;
         history.write(
@@ -195,17 +200,20 @@
                 startNano,
                 "offset_ms",
                 offset.ms());
-        if (news) {
+        if (changed) {
             LOG.info(
                     "calendar: {} confirmed, {}",
                     accepted.version(),
-                    again.state(tasks.wall().instant(), tasks.nanoTime()));
+                    renewed.state(tasks.wall().instant(), tasks.nanoTime()));
         }
         unknownReported = false;
     }
 
-    /** So that a checker knows what a version forbids: {@code START..END SCOPE} in milliseconds since 1970, for a day. */
-    private void tellWindows(Entry accepted) {
+    /**
+     * Records the windows of a version in the history for the checker, as {@code START..END SCOPE} in milliseconds
+     * since 1970, for the next day.
+     */
+    private void recordWindows(Entry accepted) {
         Instant now = tasks.wall().instant();
         history.write(
                 "calendar.windows",
@@ -218,20 +226,20 @@
                         .toList());
     }
 
-    private void close(Version version, String reason) {
+    private void closeCalendar(Version version, String reason) {
         calendar = LeasedCalendar.closed(version, reason);
-        why = reason;
+        unknownReason = reason;
         if (!unknownReported) {
-            LOG.warn("calendar: unknown and therefore closed: {}", reason);
+            LOG.warn("calendar: unknown, holding voluntary changes: {}", reason);
         }
         unknownReported = true;
     }
 
-    /** One line when the lease has run out. */
-    private void sayWhenOver() {
+    /** Logs one warning when the lease has expired. */
+    private void warnWhenLeaseExpired() {
         if (!unknownReported
                 && tasks.nanoTime() - confirmedNano > config.lease().toNanos()) {
-            LOG.warn("calendar: unknown and therefore closed: {}", why);
+            LOG.warn("calendar: unknown, holding voluntary changes: {}", unknownReason);
             unknownReported = true;
         }
     }
@@ -242,14 +250,15 @@
         String state = calendar.state(tasks.wall().instant(), nano);
         if (state.startsWith("unknown")) {
             Duration since = Duration.ofNanos(nano - confirmedNano);
-            state = "unknown: " + why + (wasConfirmed ? ", last confirmed " + since.toSeconds() + " s ago" : "");
+            state = "unknown: " + unknownReason
+                    + (wasConfirmed ? ", last confirmed " + since.toSeconds() + " s ago" : "");
         }
         Entry learned = acceptor.learned();
         String version = learned.version().equals(Version.NONE)
                 ? "none"
                 : learned.version().toString();
-        return List.of("calendar " + version + " " + state + "; held " + held.getAsInt()
-                + (register.waits() ? "; a proposal of this router waits" : "")
-                + (learned.text() == null || learned.text().equals(own.text()) ? "" : "; own file differs"));
+        return List.of("calendar " + version + " " + state + "; held " + heldCount.getAsInt()
+                + (register.hasPendingProposal() ? "; a proposal of this router waits" : "")
+                + (learned.text() == null || learned.text().equals(ownWindows.text()) ? "" : "; own file differs"));
     }
 }
--- a/router/src/main/java/stagepier/freeze/HeldChanges.java
+++ b/router/src/main/java/stagepier/freeze/HeldChanges.java
@@ -11,48 +11,52 @@
 import stagepier.fleet.History;
 
 /**
- * Voluntary changes that may not be taken up now, the newest of each server, and when each may. Pure: told the time, no lock,
- * no wait; on the event loop.
+ * Voluntary changes that are held back by the calendar, at most the newest of each category for each server. Takes the
+ * time as an argument, does not lock or block, and is confined to the event loop.
  *
- * <p>When the calendar opens, one held change is taken up an interval, and as long as something is held whatever comes new gets
- * in line. Time is cut into slots of the interval by the wall clock; in each slot the held change is first whose keyed hash
- * with the slot is smallest. Routers that hold the same changes so take up the same server within the skew of their clocks: a
- * ring that differs from router to router would keep keys in two places. Whatever they hold, in each interval the fleet moves
- * no more traffic than the share of one server, since no router moves more of its own.
+ * <p>When the calendar opens, one held change is released per interval; while any change is held, new ones are queued
+ * as well. The wall clock is divided into slots of one interval; in each slot the held change whose keyed hash with the
+ * slot is smallest is released. Routers that hold the same changes therefore apply the same one within the skew of
+ * their clocks, because rings that differ between routers would store keys on two servers. Whatever the routers hold,
+ * the fleet moves at most the traffic share of one server per interval, since no router moves more than that of its own
+ * traffic.
  *
- * @param <T> what is to be done when a change may be taken up
+ * @param <T> the action to perform when a change is released
  */
 public final class HeldChanges<T> {
-    /** What overtakes each other: staff's word of a server and the list's stand side by side. */
-    private enum Line {
+    /**
+     * Changes of one category replace each other; an operator's restore and a change of the server list are held
+     * independently.
+     */
+    private enum Category {
         LIST,
         RESTORE,
         DISCOVERY,
         PROMOTION
     }
 
-    private record Place(Line line, String server) {
-        static Place of(Change change) {
+    private record ChangeKey(Category category, String server) {
+        static ChangeKey of(Change change) {
             return switch (change.kind()) {
-                case ADD_SERVER, WEIGHT, ZONE, ADDRESS -> new Place(Line.LIST, change.server());
-                case RESTORE -> new Place(Line.RESTORE, change.server());
-                case MOVE_DISCOVERY -> new Place(Line.DISCOVERY, "");
-                case PROMOTE -> new Place(Line.PROMOTION, "");
+                case ADD_SERVER, WEIGHT, ZONE, ADDRESS -> new ChangeKey(Category.LIST, change.server());
+                case RESTORE -> new ChangeKey(Category.RESTORE, change.server());
+                case MOVE_DISCOVERY -> new ChangeKey(Category.DISCOVERY, "");
+                case PROMOTE -> new ChangeKey(Category.PROMOTION, "");
             };
         }
     }
 
-    private record Held<T>(Change change, T payload, long sinceNano) {}
+    private record HeldChange<T>(Change change, T payload, long sinceNano) {}
 
-    /** As many servers as a router ever remembers of a list. */
-    private static final int MOST = 4096;
+    /** Equals the maximum number of servers that a router keeps of a server list. */
+    private static final int MAX_HELD = 4096;
 
     private final Supplier<Calendar> calendar;
     private final History history;
     private final long key;
     private final long intervalMs;
-    private final Map<Place, Held<T>> held = new LinkedHashMap<>();
-    /** {@code held.size()}, for other threads. */
+    private final Map<ChangeKey, HeldChange<T>> held = new LinkedHashMap<>();
+    /** {@code held.size()}, readable from other threads. */
     private volatile int size;
 
     private long lastSlot = Long.MIN_VALUE;
@@ -62,9 +66,10 @@
     private long refused;
 
     /**
-     * @param calendar what can be relied on now
-     * @param key      the same in all routers of a fleet
-     * @param interval between two that are taken up; at least the skew of the routers' clocks, so that they keep step
+     * @param calendar supplies the current snapshot
+     * @param key      the same on all routers of a fleet
+     * @param interval between two released changes; at least the skew of the routers' clocks, so that they release in
+     *                 step
      */
     public HeldChanges(Supplier<Calendar> calendar, History history, long key, Duration interval) {
         this.calendar = calendar;
@@ -74,59 +79,59 @@
     }
 
     /**
-     * Somebody asks for a change, which overtakes an earlier one of the same server.
+     * Submits a change, which replaces a held one of the same category and server.
      *
-     * @return true where it is to be taken up now; false where it is held, or refused since too many are
+     * @return true if the change is to be applied now; false if it is held, or refused because too many are held
      */
     public boolean offer(Change change, T payload, Instant wall, long nanoTime) {
-        Calendar now = calendar.get();
-        Calendar.Answer answer = now.ask(change, wall, nanoTime);
-        Place place = Place.of(change);
+        Calendar current = calendar.get();
+        Calendar.Answer answer = current.ask(change, wall, nanoTime);
+        ChangeKey changeKey = ChangeKey.of(change);
         if (answer.permit() == Calendar.Permit.OPEN && held.isEmpty()) {
-            write("topology.admitted", change, now, "");
+            write("topology.admitted", change, current, "");
             return true;
         }
-        Held<T> before = held.remove(place);
+        HeldChange<T> before = held.remove(changeKey);
         if (before != null) {
             overtaken++;
-            write("topology.overtaken", before.change(), now, "");
+            write("topology.overtaken", before.change(), current, "");
         }
-        if (held.size() >= MOST) {
+        if (held.size() >= MAX_HELD) {
             refused++;
-            write("topology.refused", change, now, "too many are held");
+            write("topology.refused", change, current, "too many are held");
         } else {
-            held.put(place, new Held<>(change, payload, before == null ? nanoTime : before.sinceNano()));
-            write("topology.held", change, now, answer.permit() + " " + answer.reason());
+            held.put(changeKey, new HeldChange<>(change, payload, before == null ? nanoTime : before.sinceNano()));
+            write("topology.held", change, current, answer.permit() + " " + answer.reason());
         }
         size = held.size();
         return false;
     }
 
-    /** The server drains, is gone, or its list entry is again what counts: whatever is held of it is never taken up. */
+    /** Discards all held changes of a server because it drains, has left, or follows its list entry again. */
     public void overtaken(String server) {
         drop(server, null);
     }
 
-    /** Staff have suspended the server: a held word to restore it is never taken up, what the list says of it may be later. */
+    /** Discards a held restore because an operator suspended the server; held changes of its list entry stay. */
     public void suspended(String server) {
-        drop(server, Line.RESTORE);
+        drop(server, Category.RESTORE);
     }
 
-    /** What was asked for is not wanted any more, such as another discovery after the file was set back. */
+    /** Discards a held change that is no longer wanted, such as a move of discovery after the file was changed back. */
     public void withdrawn(Change change) {
-        drop(Place.of(change));
+        drop(ChangeKey.of(change));
     }
 
-    private void drop(String server, Line only) {
-        for (Line line : new Line[] {Line.LIST, Line.RESTORE}) {
-            if (!server.isEmpty() && (only == null || only == line)) {
-                drop(new Place(line, server));
+    private void drop(String server, Category only) {
+        for (Category category : new Category[] {Category.LIST, Category.RESTORE}) {
+            if (!server.isEmpty() && (only == null || only == category)) {
+                drop(new ChangeKey(category, server));
             }
         }
     }
 
-    private void drop(Place place) {
-        Held<T> before = held.remove(place);
+    private void drop(ChangeKey changeKey) {
+        HeldChange<T> before = held.remove(changeKey);
         if (before != null) {
             overtaken++;
             size = held.size();
@@ -135,53 +140,53 @@
     }
 
     /**
-     * What is to be taken up now: at most one change, where the calendar lets it and an interval has gone by since the last. To
-     * be called several times an interval.
+     * Returns the changes to apply now: at most one, if the calendar permits it and an interval has passed since the
+     * last one. To be called several times per interval.
      */
     public List<T> due(Instant wall, long nanoTime) {
         if (held.isEmpty()) {
             return List.of();
         }
         long slot = Math.floorDiv(wall.toEpochMilli(), intervalMs);
-        boolean early =
+        boolean tooEarly =
                 lastSlot != Long.MIN_VALUE && (slot == lastSlot || nanoTime - lastNano < intervalMs * 1_000_000);
-        if (early) {
+        if (tooEarly) {
             return List.of();
         }
-        Calendar now = calendar.get();
-        Place first = null;
-        long least = 0;
-        for (Map.Entry<Place, Held<T>> e : held.entrySet()) {
-            if (now.ask(e.getValue().change(), wall, nanoTime).permit() == Calendar.Permit.OPEN) {
+        Calendar current = calendar.get();
+        ChangeKey first = null;
+        long leastRank = 0;
+        for (Map.Entry<ChangeKey, HeldChange<T>> e : held.entrySet()) {
+            if (current.ask(e.getValue().change(), wall, nanoTime).permit() == Calendar.Permit.OPEN) {
                 long rank = rank(e.getKey(), slot);
-                if (first == null || rank < least) {
+                if (first == null || rank < leastRank) {
                     first = e.getKey();
-                    least = rank;
+                    leastRank = rank;
                 }
             }
         }
         if (first == null) {
             return List.of();
         }
-        Held<T> one = held.remove(first);
+        HeldChange<T> next = held.remove(first);
         size = held.size();
         lastSlot = slot;
         lastNano = nanoTime;
         released++;
-        write("topology.released", one.change(), now, "");
+        write("topology.released", next.change(), current, "");
         List<T> due = new ArrayList<>(1);
-        due.add(one.payload());
+        due.add(next.payload());
         return due;
     }
 
-    private long rank(Place place, long slot) {
-        long id =
-                (long) place.server().hashCode() << Integer.SIZE | place.line().ordinal();
+    private long rank(ChangeKey changeKey, long slot) {
+        long id = (long) changeKey.server().hashCode() << Integer.SIZE
+                | changeKey.category().ordinal();
         long name = new SplittableRandom(key ^ id).nextLong();
         return new SplittableRandom(name ^ slot).nextLong();
     }
 
-    private void write(String event, Change change, Calendar by, String why) {
+    private void write(String event, Change change, Calendar basis, String reason) {
         history.write(
                 event,
                 "kind",
@@ -191,17 +196,17 @@
                 "zone",
                 change.zone(),
                 "calendar",
-                by.version(),
+                basis.version(),
                 "why",
-                why);
+                reason);
     }
 
-    /** From any thread. */
+    /** Returns the number of held changes. May be called from any thread. */
     public int size() {
         return size;
     }
 
-    /** For how long the oldest has been held; zero where nothing is. */
+    /** Returns for how long the oldest change has been held; zero if none is. */
     public Duration oldest(long nanoTime) {
         return Duration.ofNanos(held.values().stream()
                 .mapToLong(h -> nanoTime - h.sinceNano())
@@ -209,17 +214,17 @@
                 .orElse(0));
     }
 
-    /** Taken up after they were held. */
+    /** Number of changes that were released after having been held. */
     public long released() {
         return released;
     }
 
-    /** Held, and never taken up since something newer came. */
+    /** Number of held changes that were discarded because they were replaced or became obsolete. */
     public long overtaken() {
         return overtaken;
     }
 
-    /** Neither taken up nor held, since too many were held. */
+    /** Number of changes that were refused because too many were held. */
     public long refused() {
         return refused;
     }
--- a/router/src/main/java/stagepier/freeze/Incarnations.java
+++ b/router/src/main/java/stagepier/freeze/Incarnations.java
@@ -3,9 +3,9 @@
 import java.time.Clock;
 
 /**
- * Numbers of the processes that have had one name, one after the other: milliseconds since 1970 at the start, with low bits at
- * random, so that two that start at one reading of a clock differ. Where a clock was turned back over a restart, the others
- * tell.
+ * Creates incarnations, which number the successive processes of one name: the start time in milliseconds since 1970
+ * with random low bits, so that two processes that start at the same clock reading differ. If the clock went back over
+ * a restart, replies of other routers show it.
  */
 final class Incarnations {
     static final int LOW_BITS = 10;
--- a/router/src/main/java/stagepier/freeze/LeasedCalendar.java
+++ b/router/src/main/java/stagepier/freeze/LeasedCalendar.java
@@ -5,73 +5,76 @@
 import java.util.List;
 
 /**
- * The calendar as a majority confirmed it at one moment; it is relied on for the lease from then. Immutable; asking it makes
- * nothing and waits for nothing.
+ * The calendar as confirmed by a majority, valid for one lease from the start of that confirmation. Immutable; queries
+ * allocate nothing and do not block.
  *
- * <p>The wall clock is believed as long as it has gone on since the confirmation by what monotonic time says; where it jumped,
- * nothing is known until the next confirmation has compared it with the others' clocks.
+ * <p>The wall clock is trusted as long as it has advanced since the confirmation by as much as monotonic time. After a
+ * jump the calendar is unknown until the next confirmation has compared the clock with those of the other routers.
  */
 final class LeasedCalendar implements Calendar {
-    /** A wall clock that is drawn to the right time bit by bit stays below this between two confirmations. */
-    static final long JUMP_MS = 500;
+    /** A clock that is slewed to the correct time deviates by less than this between two confirmations. */
+    static final long MAX_CLOCK_JUMP_MS = 500;
 
     private static final Answer OPEN = new Answer(Permit.OPEN, "");
-    private static final Answer LEASE = unknown("no majority confirmed the calendar within the lease");
-    private static final Answer JUMPED = unknown("the wall clock jumped");
-    private static final Answer BEYOND = unknown("the wall clock is beyond what was looked up");
+    private static final Answer LEASE_EXPIRED = unknown("no majority confirmed the calendar within the lease");
+    private static final Answer CLOCK_JUMPED = unknown("the wall clock jumped");
+    private static final Answer BEYOND_LOOKAHEAD = unknown("the wall clock is beyond what was looked up");
 
-    /** What it looks up of the windows at once: the lease is far shorter. */
-    private static final Duration AHEAD = Duration.ofHours(2);
+    /** The range of time for which windows are expanded; far longer than the lease. */
+    private static final Duration LOOKAHEAD = Duration.ofHours(2);
 
-    /** A window at one time, and what is answered in it. */
-    private record Held(long startMs, long endMs, Scope scope, String name, Answer answer) {}
+    /** One occurrence of a window, and the answer during it. */
+    private record FrozenSpan(long startMs, long endMs, Scope scope, String name, Answer answer) {}
 
     private final Version version;
     private final Answer closed;
-    private final Held[] held;
+    private final FrozenSpan[] frozenSpans;
     private final long startNano;
     private final long startWallMs;
     private final long leaseNano;
-    private final long lookedUpMs;
+    private final long lookaheadEndMs;
 
     private LeasedCalendar(
             Version version,
             Answer closed,
-            Held[] held,
+            FrozenSpan[] frozenSpans,
             long startNano,
             long startWallMs,
             long leaseNano,
-            long lookedUpMs) {
+            long lookaheadEndMs) {
         this.version = version;
         this.closed = closed;
-        this.held = held;
+        this.frozenSpans = frozenSpans;
         this.startNano = startNano;
         this.startWallMs = startWallMs;
         this.leaseNano = leaseNano;
-        this.lookedUpMs = lookedUpMs;
+        this.lookaheadEndMs = lookaheadEndMs;
     }
 
-    private static Answer unknown(String why) {
-        return new Answer(Permit.UNKNOWN, why);
+    private static Answer unknown(String reason) {
+        return new Answer(Permit.UNKNOWN, reason);
     }
 
-    /** Nothing is known, whatever the time. */
-    static LeasedCalendar closed(Version version, String why) {
-        return new LeasedCalendar(version, unknown(why), new Held[0], 0, 0, 0, 0);
+    /** Creates a calendar that is unknown at any time. */
+    static LeasedCalendar closed(Version version, String reason) {
+        return new LeasedCalendar(version, unknown(reason), new FrozenSpan[0], 0, 0, 0, 0);
     }
 
     /**
+     * Creates a calendar that a majority has confirmed.
+     *
      * @param windows   of the accepted calendar
      * @param startNano when the confirmation began, in the time of {@code Tasks}
-     * @param startWall the wall clock then
+     * @param startWall the wall clock at that moment
      * @param skew      by how much each window begins early and ends late
      */
     static LeasedCalendar of(
             Version version, Windows windows, long startNano, Instant startWall, Duration lease, Duration skew) {
-        Instant to = startWall.plus(AHEAD);
-        List<Window.Span> spans = windows.spans(startWall.minus(skew).minus(Duration.ofMinutes(1)), to.plus(skew));
-        Held[] held = spans.stream()
-                .map(s -> new Held(
+        Instant lookaheadEnd = startWall.plus(LOOKAHEAD);
+        List<Window.Span> spans =
+                windows.spans(startWall.minus(skew).minus(Duration.ofMinutes(1)), lookaheadEnd.plus(skew));
+        FrozenSpan[] frozenSpans = spans.stream()
+                .map(s -> new FrozenSpan(
                         s.startMs() - skew.toMillis(),
                         s.endMs() + skew.toMillis(),
                         s.window().scope(),
@@ -79,18 +82,27 @@
                         new Answer(
                                 Permit.FROZEN,
                                 s.window().name() + ": " + s.window().reason())))
-                .toArray(Held[]::new);
+                .toArray(FrozenSpan[]::new);
         return new LeasedCalendar(
-                version, null, held, startNano, startWall.toEpochMilli(), lease.toNanos(), to.toEpochMilli());
+                version,
+                null,
+                frozenSpans,
+                startNano,
+                startWall.toEpochMilli(),
+                lease.toNanos(),
+                lookaheadEnd.toEpochMilli());
     }
 
-    /** The same windows, confirmed again; null where they have to be looked up again. */
-    LeasedCalendar again(Version confirmed, long atNano, long atWallMs) {
+    /** Returns this calendar with a new lease, or null if its windows have to be expanded again. */
+    LeasedCalendar renew(Version confirmed, long confirmedNano, long confirmedWallMs) {
         boolean same = closed == null
                 && confirmed.equals(version)
-                && atWallMs >= startWallMs
-                && atWallMs + AHEAD.toMillis() / 2 < lookedUpMs;
-        return same ? new LeasedCalendar(version, null, held, atNano, atWallMs, leaseNano, lookedUpMs) : null;
+                && confirmedWallMs >= startWallMs
+                && confirmedWallMs + LOOKAHEAD.toMillis() / 2 < lookaheadEndMs;
+        return same
+                ? new LeasedCalendar(
+                        version, null, frozenSpans, confirmedNano, confirmedWallMs, leaseNano, lookaheadEndMs)
+                : null;
     }
 
     @Override
@@ -105,11 +117,11 @@
     @Override
     public Answer ask(Change change, Instant wall, long nanoTime) {
         long wallMs = wall.toEpochMilli();
-        Answer known = known(wallMs, nanoTime);
-        if (known != null) {
-            return known;
+        Answer unavailable = unavailable(wallMs, nanoTime);
+        if (unavailable != null) {
+            return unavailable;
         }
-        for (Held h : held) {
+        for (FrozenSpan h : frozenSpans) {
             if (h.startMs <= wallMs && wallMs < h.endMs && h.scope.covers(change)) {
                 return h.answer;
             }
@@ -117,30 +129,32 @@
         return OPEN;
     }
 
-    /** Why nothing is known at that moment; null where the calendar can be relied on. */
-    private Answer known(long wallMs, long nanoTime) {
+    /** Returns the answer if the calendar is unknown at that moment; null if it is valid. */
+    private Answer unavailable(long wallMs, long nanoTime) {
         if (closed != null) {
             return closed;
         }
         long since = nanoTime - startNano;
         if (since > leaseNano) {
-            return LEASE;
+            return LEASE_EXPIRED;
         }
-        if (Math.abs(wallMs - startWallMs - since / 1_000_000) > JUMP_MS) {
-            return JUMPED;
+        if (Math.abs(wallMs - startWallMs - since / 1_000_000) > MAX_CLOCK_JUMP_MS) {
+            return CLOCK_JUMPED;
         }
-        return wallMs >= lookedUpMs ? BEYOND : null;
+        return wallMs >= lookaheadEndMs ? BEYOND_LOOKAHEAD : null;
     }
 
-    /** For {@code STATUS}: {@code open}, {@code frozen until ... by NAME} or {@code unknown: WHY}. */
+    /**
+     * Returns the state for {@code STATUS}: {@code open}, {@code frozen until ... by NAME} or {@code unknown: REASON}.
+     */
     String state(Instant wall, long nanoTime) {
-        Answer known = known(wall.toEpochMilli(), nanoTime);
-        if (known != null) {
-            return "unknown: " + known.reason();
+        Answer unavailable = unavailable(wall.toEpochMilli(), nanoTime);
+        if (unavailable != null) {
+            return "unknown: " + unavailable.reason();
         }
         long wallMs = wall.toEpochMilli();
-        Held last = null;
-        for (Held h : held) {
+        FrozenSpan last = null;
+        for (FrozenSpan h : frozenSpans) {
             if (h.startMs <= wallMs && wallMs < h.endMs && (last == null || h.endMs > last.endMs)) {
                 last = h;
             }
@@ -148,6 +162,6 @@
         return last == null
                 ? "open"
                 : "frozen until " + Instant.ofEpochMilli(last.endMs) + " by " + last.name
-                        + (last.scope.what() == Scope.What.ALL ? "" : " (" + last.scope + ")");
+                        + (last.scope.type() == Scope.Type.ALL ? "" : " (" + last.scope + ")");
     }
 }
--- a/router/src/main/java/stagepier/freeze/LocalTimes.java
+++ b/router/src/main/java/stagepier/freeze/LocalTimes.java
@@ -7,37 +7,37 @@
 import java.time.zone.ZoneOffsetTransition;
 
 /**
- * A local time that a zone has twice, or never, on the day that its clocks are set: it can be read with the offset before and
- * with the one after. A freeze begins at the earlier and ends at the later of both readings, so that it is never shorter than
- * meant.
+ * Converts local times to instants, including those that occur twice or never on the day of an offset transition. Such
+ * a time can be interpreted with the offset before or after the transition. A freeze begins at the earlier and ends at
+ * the later of both instants, so that it is never shorter than intended.
  */
 final class LocalTimes {
     private LocalTimes() {}
 
     static Instant earlier(LocalDateTime local, ZoneId zone) {
-        return read(local, zone, true);
+        return resolve(local, zone, true);
     }
 
     static Instant later(LocalDateTime local, ZoneId zone) {
-        return read(local, zone, false);
+        return resolve(local, zone, false);
     }
 
-    private static Instant read(LocalDateTime local, ZoneId zone, boolean earlier) {
-        ZoneOffsetTransition set = zone.getRules().getTransition(local);
-        if (set == null) {
+    private static Instant resolve(LocalDateTime local, ZoneId zone, boolean earlier) {
+        ZoneOffsetTransition transition = zone.getRules().getTransition(local);
+        if (transition == null) {
             return local.toInstant(zone.getRules().getOffset(local));
         }
-        Instant before = local.toInstant(set.getOffsetBefore());
-        Instant after = local.toInstant(set.getOffsetAfter());
+        Instant before = local.toInstant(transition.getOffsetBefore());
+        Instant after = local.toInstant(transition.getOffsetAfter());
         return before.isBefore(after) == earlier ? before : after;
     }
 
-    /** A local time as if it were one of UTC: what recurrences count in. */
-    static long count(LocalDateTime local) {
+    /** Returns a local time as if it were UTC, in milliseconds since 1970; recurrences are computed in this form. */
+    static long toMillisAsUtc(LocalDateTime local) {
         return local.toInstant(ZoneOffset.UTC).toEpochMilli();
     }
 
-    static LocalDateTime local(long count) {
-        return LocalDateTime.ofInstant(Instant.ofEpochMilli(count), ZoneOffset.UTC);
+    static LocalDateTime fromMillisAsUtc(long millis) {
+        return LocalDateTime.ofInstant(Instant.ofEpochMilli(millis), ZoneOffset.UTC);
     }
 }
--- a/router/src/main/java/stagepier/freeze/Recurrence.java
+++ b/router/src/main/java/stagepier/freeze/Recurrence.java
@@ -10,20 +10,20 @@
 import org.dmfs.rfc5545.recur.RecurrenceRule;
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
-/** A rule by which a window comes again (RFC 5545, section 3.3.10), counted in local times. Immutable. */
+/** A recurrence rule of a window (RFC 5545, section 3.3.10), evaluated in local time. Immutable. */
 final class Recurrence {
-    private static final TimeZone COUNT = TimeZone.getTimeZone("UTC");
-    private static final Set<Freq> KNOWN = Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
-    /** Guards against a rule that names more times than a calendar is for. */
-    private static final int MOST = 2_000;
+    private static final TimeZone LOCAL_TIME_AS_UTC = TimeZone.getTimeZone("UTC");
+    private static final Set<Freq> SUPPORTED_FREQUENCIES = Set.of(Freq.DAILY, Freq.WEEKLY, Freq.MONTHLY, Freq.YEARLY);
+    /** Limits the expansion of a rule that yields more start times than a calendar is meant for. */
+    private static final int MAX_STARTS = 2_000;
 
     private final String text;
 
-    /** @throws IllegalArgumentException with what is wrong with it */
+    /** @throws IllegalArgumentException if the rule is invalid; the message names the problem */
     Recurrence(String text, LocalDateTime start) {
         this.text = text;
         RecurrenceRule rule = rule(text);
-        if (!KNOWN.contains(rule.getFreq())) {
+        if (!SUPPORTED_FREQUENCIES.contains(rule.getFreq())) {
             throw new IllegalArgumentException("comes more often than daily");
         }
         if (rule.getUntil() != null && rule.getUntil().getTimeZone() != null) {
@@ -52,24 +52,24 @@
         }
     }
 
-    /** Its times from {@code from} on and before {@code to}, where the first of all is {@code start}. */
+    /** Returns the start times in [{@code from}, {@code to}) of the recurrence that begins at {@code start}. */
     List<LocalDateTime> starts(LocalDateTime start, LocalDateTime from, LocalDateTime to) {
-        return starts(start, from, to, MOST);
+        return starts(start, from, to, MAX_STARTS);
     }
 
-    private List<LocalDateTime> starts(LocalDateTime start, LocalDateTime from, LocalDateTime to, int most) {
+    private List<LocalDateTime> starts(LocalDateTime start, LocalDateTime from, LocalDateTime to, int limit) {
         List<LocalDateTime> starts = new ArrayList<>();
         try {
-            RecurrenceRuleIterator it = rule(text).iterator(LocalTimes.count(start), COUNT);
+            RecurrenceRuleIterator it = rule(text).iterator(LocalTimes.toMillisAsUtc(start), LOCAL_TIME_AS_UTC);
             if (from.isAfter(start)) {
-                it.fastForward(LocalTimes.count(from));
+                it.fastForward(LocalTimes.toMillisAsUtc(from));
             }
-            long end = LocalTimes.count(to);
-            while (starts.size() < most && it.hasNext() && it.peekMillis() < end) {
-                starts.add(LocalTimes.local(it.nextMillis()));
+            long end = LocalTimes.toMillisAsUtc(to);
+            while (starts.size() < limit && it.hasNext() && it.peekMillis() < end) {
+                starts.add(LocalTimes.fromMillisAsUtc(it.nextMillis()));
             }
         } catch (IllegalArgumentException | ArithmeticException e) {
-            // The library gives up on rules that name no time for very long.
+            // The library throws for rules that yield no time over a very long period.
             return starts;
         }
         return starts;
--- a/router/src/main/java/stagepier/freeze/Register.java
+++ b/router/src/main/java/stagepier/freeze/Register.java
@@ -25,51 +25,55 @@
 import stagepier.tasks.Tasks;
 
 /**
- * One router's part in agreeing on the calendar: a register that all routers change in ballots of two phases, each change a
- * function of what was accepted before it, so that what is accepted forms one sequence. One task does all of it, one thing
- * after another; {@link Acceptor} answers the others meanwhile. {@code docs/freeze.md} has the rules and why they hold.
+ * One router's proposer in the agreement on the calendar: a replicated register that routers change in two-phase
+ * ballots. Each change is a function of the entry accepted before it, so that accepted entries form one sequence. A
+ * single task runs all rounds one after another, while {@link Acceptor} answers requests of other routers.
+ * {@code docs/freeze.md} has the rules and the reasons for them.
  */
 final class Register {
     private static final Logger LOG = LoggerFactory.getLogger(Register.class);
-    private static final Duration ROUND = Duration.ofMillis(400);
-    private static final Duration CONFIRM_EACH = Duration.ofSeconds(1);
-    /** Above this many routers confirmations get rarer, so that what a router hears does not grow with the fleet. */
-    private static final Duration CONFIRM_EACH_OTHER = Duration.ofMillis(20);
-
-    private static final Duration AGAIN = Duration.ofMillis(300);
-    private static final Duration AGAIN_OTHER = Duration.ofMillis(5);
-    /** A ballot that met another one waits up to this, and twice as long each time, before it tries again. */
-    private static final int BACKOFF_MS = 60;
-
-    private static final int BALLOTS_AT_ONCE = 4;
-    /** A ballot of another router is over, or lost, when nothing is heard of it for this long. */
-    private static final int QUIET_MS = 40;
-
-    private static final int QUIET_LOOKS = 6;
-    /** Who would finish what another one left waits up to this, so that one of them does. */
-    private static final int FINISH_MS = 400;
-    /** Guards against a file that is accepted long after staff gave it, over a newer one that they gave elsewhere. */
-    private static final Duration PROPOSAL_MOST = Duration.ofSeconds(10);
-
-    private static final int FEW = 8;
-    private static final int WISHES = 8;
-    /** Something newer was heard of: confirm it now. No calendar is this text. */
-    private static final String LOOK = "";
-
-    /** A reply that is none. */
-    private static final Map<String, String> NOTHING = Map.of();
-
-    /** What the register has to tell. From its task. */
+    private static final Duration ROUND_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration MIN_CONFIRM_INTERVAL = Duration.ofSeconds(1);
+    /**
+     * Lengthens the confirmation interval with the number of routers, so that the load per router does not grow with
+     * the fleet.
+     */
+    private static final Duration CONFIRM_INTERVAL_PER_ROUTER = Duration.ofMillis(20);
+
+    private static final Duration MIN_RETRY_INTERVAL = Duration.ofMillis(300);
+    private static final Duration RETRY_INTERVAL_PER_ROUTER = Duration.ofMillis(5);
+    /** A ballot that met a competing one backs off for a random time of up to this, doubled with each attempt. */
+    private static final int INITIAL_BACKOFF_MS = 60;
+
+    private static final int MAX_BALLOTS_IN_A_ROW = 4;
+    /** A ballot of another router is considered finished or lost when no message of it arrives for this time. */
+    private static final int QUIET_CHECK_MS = 40;
+
+    private static final int MAX_QUIET_CHECKS = 6;
+    /** Maximum random delay before a router finishes an abandoned ballot, so that usually only one router does. */
+    private static final int MAX_FINISH_DELAY_MS = 400;
+    /** Prevents a file from being accepted long after it was proposed, over a newer one proposed at another router. */
+    private static final Duration PROPOSAL_TIMEOUT = Duration.ofSeconds(10);
+
+    private static final int INITIAL_RECOVERY_PEERS = 8;
+    private static final int MAX_QUEUED_REQUESTS = 8;
+    /** Queued when a newer entry has been learned, to confirm it now. No calendar has this text. */
+    private static final String CONFIRM_NOW = "";
+
+    /** The empty reply to routers of another fleet. */
+    private static final Map<String, String> NO_REPLY = Map.of();
+
+    /** Receives the results of confirmations, on the register's task. */
     interface Listener {
-        /** A majority holds what {@code accepted} says, as of the moment {@code startNano} and {@code startWallMs}. */
-        void confirmed(Entry accepted, long startNano, long startWallMs, Clocks.Offset offset);
+        /** A majority confirmed {@code accepted} as the latest entry at {@code startNano} and {@code startWallMs}. */
+        void confirmed(Entry accepted, long startNano, long startWallMs, ClockComparison.Offset offset);
 
-        /** @param why nothing could be confirmed */
-        void unconfirmed(String why);
+        /** @param reason why no entry could be confirmed */
+        void unconfirmed(String reason);
     }
 
-    /** A calendar that this router's staff want. */
-    private record Proposal(String id, String text, long untilNano) {}
+    /** A calendar proposed at this router. */
+    private record Proposal(String id, String text, long deadlineNano) {}
 
     private final Tasks tasks;
     private final FleetConfig config;
@@ -81,24 +85,24 @@
     private final SplittableRandom random;
     private final String fleet;
     private final int majority;
-    private final Duration confirmEach;
-    private final Duration again;
-    /** What its staff want, or {@link #LOOK}. */
-    private final Mailbox<String> wishes;
-    /** Whether {@link #LOOK} lies in {@code wishes}: once at the most, so that it takes no place from what staff want. */
-    private final AtomicBoolean looks = new AtomicBoolean();
-
-    private final Set<String> ofOtherFleets = ConcurrentHashMap.newKeySet();
-    /** Written by the task alone. */
+    private final Duration confirmInterval;
+    private final Duration retryInterval;
+    /** Texts proposed at this router, or {@link #CONFIRM_NOW}. */
+    private final Mailbox<String> requests;
+    /** Whether {@link #CONFIRM_NOW} is queued; at most once, so that it does not take the room of proposals. */
+    private final AtomicBoolean confirmQueued = new AtomicBoolean();
+
+    private final Set<String> membersOfOtherFleets = ConcurrentHashMap.newKeySet();
+    /** Written only by the register's task. */
     private volatile Proposal pending;
 
-    private int proposed;
-    /** In the last ballot a majority could have voted. */
+    private int proposalCount;
+    /** Whether a majority could have voted in the last ballot. */
     private boolean hasQuorum;
 
     private long round;
 
-    /** @param file the windows in this router's own file, canonical */
+    /** @param file the windows in this router's own file, in canonical form */
     Register(
             Tasks tasks,
             FleetRpc calls,
@@ -120,16 +124,21 @@
         others.remove(config.self());
         fanout = new Fanout(tasks, calls, List.copyOf(others));
         bootstrap = new FleetBootstrap(this, acceptor, config, tasks);
-        file(file);
-        wishes = tasks.mailbox(WISHES);
-        Duration byFleet = CONFIRM_EACH_OTHER.multipliedBy(config.members().size());
-        Duration slowest = config.lease().dividedBy(3);
-        confirmEach = max(CONFIRM_EACH, byFleet.compareTo(slowest) < 0 ? byFleet : slowest);
-        again = max(AGAIN, AGAIN_OTHER.multipliedBy(config.members().size()));
-        calls.answer(RegisterRequest.PART, this::answer);
+        setFile(file);
+        requests = tasks.mailbox(MAX_QUEUED_REQUESTS);
+        Duration intervalByFleetSize =
+                CONFIRM_INTERVAL_PER_ROUTER.multipliedBy(config.members().size());
+        Duration maxInterval = config.lease().dividedBy(3);
+        confirmInterval = max(
+                MIN_CONFIRM_INTERVAL,
+                intervalByFleetSize.compareTo(maxInterval) < 0 ? intervalByFleetSize : maxInterval);
+        retryInterval = max(
+                MIN_RETRY_INTERVAL,
+                RETRY_INTERVAL_PER_ROUTER.multipliedBy(config.members().size()));
+        calls.answer(RegisterRequest.PART, this::handle);
     }
 
-    /** Names the configured fleet: routers with another one have another agreement. */
+    /** Returns an identifier of the configured fleet; only routers with the same one take part in an agreement. */
     static String fleet(FleetConfig config) {
         return Windows.hash(String.join("\n", config.members().keySet()));
     }
@@ -143,80 +152,82 @@
         tasks.start("calendar", this::run);
     }
 
-    /** This router's file was read again, and says what is accepted. */
-    void same(String text) {
-        file(text);
+    /** Records that this router's file was read again and equals the accepted calendar. */
+    void fileReloaded(String text) {
+        setFile(text);
     }
 
-    private void file(String text) {
-        bootstrap.file(text);
-        acceptor.file(Windows.hash(text));
+    private void setFile(String text) {
+        bootstrap.setFileText(text);
+        acceptor.setFileHash(Windows.hash(text));
     }
 
     /**
-     * Asks the fleet to accept what this router's file says now; from any thread. A later one takes the place of one that still
-     * waits.
+     * Proposes the current windows of this router's file to the fleet; a later proposal replaces a pending one. May be
+     * called from any thread.
      */
     void propose(String text) {
-        file(text);
-        if (!wishes.put(text)) {
-            LOG.warn("calendar: too many proposals at once, this one is dropped");
+        setFile(text);
+        if (!requests.put(text)) {
+            LOG.warn("calendar: too many queued proposals, dropping this one");
         }
     }
 
-    private Message answer(String from, Message call) throws Message.MalformedException {
-        RegisterRequest ask = call.read(RegisterRequest.class);
-        ask.check(call.kind(), from);
+    private Message handle(String from, Message call) throws Message.MalformedException {
+        RegisterRequest request = call.read(RegisterRequest.class);
+        request.check(call.kind(), from);
         if (!config.members().containsKey(from)) {
-            throw new Message.MalformedException(from + " is none of this fleet");
+            throw new Message.MalformedException(from + " is not a member of this fleet");
         }
-        if (!fleet.equals(ask.fleet())) {
-            // While staff change fleet.toml at one router after the other: no reason to break what else goes over that
-            // link.
-            if (ofOtherFleets.add(from)) {
-                LOG.warn("calendar: fleet.toml of {} names other routers: it has no part in this agreement", from);
+        if (!fleet.equals(request.fleet())) {
+            // Happens while operators change fleet.toml on one router after another. An empty reply keeps the link open
+            // for other calls.
+            if (membersOfOtherFleets.add(from)) {
+                LOG.warn("calendar: fleet.toml of {} lists other routers than this one; ignoring its requests", from);
             }
-            return Message.of(call.kind(), NOTHING);
+            return Message.of(call.kind(), NO_REPLY);
         }
-        ofOtherFleets.remove(from);
-        RegisterResponse reply = acceptor.answer(call.kind(), ask);
-        if (call.kind().equals(RegisterRequest.LEARN) && !looks.getAndSet(true) && !wishes.put(LOOK)) {
-            looks.set(false);
+        membersOfOtherFleets.remove(from);
+        RegisterResponse reply = acceptor.handle(call.kind(), request);
+        if (call.kind().equals(RegisterRequest.LEARN) && !confirmQueued.getAndSet(true) && !requests.put(CONFIRM_NOW)) {
+            confirmQueued.set(false);
         }
         return Message.of(call.kind(), reply);
     }
 
     private void run() throws InterruptedException {
         while (true) {
-            boolean good = acceptor.isMember() || recover();
-            if (pending != null && tasks.nanoTime() >= pending.untilNano()) {
+            boolean ready = acceptor.isMember() || recover();
+            if (pending != null && tasks.nanoTime() >= pending.deadlineNano()) {
                 LOG.warn(
-                        "calendar: the fleet did not accept this router's file within {} s: given up",
-                        PROPOSAL_MOST.toSeconds());
+                        "calendar: the fleet did not accept this router's file within {} s; dropping the proposal",
+                        PROPOSAL_TIMEOUT.toSeconds());
                 pending = null;
             }
-            if (good && pending != null) {
-                decide(pending);
+            if (ready && pending != null) {
+                proposeWithRetries(pending);
             }
-            good = good && confirm();
-            String wanted = wishes.take(good && pending == null ? confirmEach : again);
-            if (LOOK.equals(wanted)) {
-                looks.set(false);
-            } else if (wanted != null) {
+            ready = ready && confirm();
+            String text = requests.take(ready && pending == null ? confirmInterval : retryInterval);
+            if (CONFIRM_NOW.equals(text)) {
+                confirmQueued.set(false);
+            } else if (text != null) {
                 pending = new Proposal(
-                        acceptor.incarnation() + ":" + ++proposed, wanted, tasks.nanoTime() + PROPOSAL_MOST.toNanos());
+                        acceptor.incarnation() + ":" + ++proposalCount,
+                        text,
+                        tasks.nanoTime() + PROPOSAL_TIMEOUT.toNanos());
             }
         }
     }
 
     // Rounds
 
-    RegisterRequest ask(String to, long generation, Ballot ballot, Entry entry) {
+    RegisterRequest request(String to, long generation, Ballot ballot, Entry entry) {
         return new RegisterRequest(
                 fleet,
                 config.self(),
                 acceptor.incarnation(),
-                acceptor.known(to),
+                acceptor.incarnationOf(to),
                 generation,
                 ballot,
                 entry,
@@ -224,13 +235,13 @@
                 null);
     }
 
-    /** The second phase of a bootstrap. */
-    RegisterRequest founded(String to, long generation, Entry base, Map<String, Long> incarnations) {
+    /** Returns the request of the second phase of a founding. */
+    RegisterRequest foundedRequest(String to, long generation, Entry base, Map<String, Long> incarnations) {
         return new RegisterRequest(
                 fleet,
                 config.self(),
                 acceptor.incarnation(),
-                acceptor.known(to),
+                acceptor.incarnationOf(to),
                 generation,
                 null,
                 base,
@@ -238,13 +249,14 @@
                 incarnations);
     }
 
-    /** Asks all, this router among them; the round is over when a majority that counts has agreed. */
-    private Tally all(String kind, long generation, Ballot ballot, Entry entry) throws InterruptedException {
+    /** Queries all routers including this one; the round ends when a majority has agreed or none can any more. */
+    private Tally queryUntilMajority(String kind, long generation, Ballot ballot, Entry entry)
+            throws InterruptedException {
         Tally tally = new Tally();
-        tally.add(config.self(), acceptor.answer(kind, ask(config.self(), generation, ballot, entry)));
-        fanout.ask(
-                to -> Message.of(kind, ask(to, generation, ballot, entry)),
-                ROUND,
+        tally.add(config.self(), acceptor.handle(kind, request(config.self(), generation, ballot, entry)));
+        fanout.query(
+                to -> Message.of(kind, request(to, generation, ballot, entry)),
+                ROUND_TIMEOUT,
                 tally,
                 t -> t.agreed().size() >= majority
                         || refused(t) > config.members().size() - majority);
@@ -252,101 +264,108 @@
     }
 
     private static long refused(Tally tally) {
-        return tally.all().values().stream().filter(r -> !r.ok()).count();
+        return tally.replies().values().stream().filter(r -> !r.ok()).count();
     }
 
-    /** For a founding: asks all, this router among them, and waits for all. */
-    Tally every(String kind, Function<String, RegisterRequest> call) throws InterruptedException {
+    /** Queries all routers including this one and waits for all of them; used for foundings. */
+    Tally queryAll(String kind, Function<String, RegisterRequest> call) throws InterruptedException {
         Tally tally = new Tally();
-        tally.add(config.self(), acceptor.answer(kind, call.apply(config.self())));
-        fanout.ask(to -> Message.of(kind, call.apply(to)), ROUND, tally, t -> false);
+        tally.add(config.self(), acceptor.handle(kind, call.apply(config.self())));
+        fanout.query(to -> Message.of(kind, call.apply(to)), ROUND_TIMEOUT, tally, t -> false);
         return tally;
     }
 
-    // A memory
+    // Recovery
 
-    /** Asks all others what they hold, and takes it over from a majority that has a memory. */
+    /** Requests the state of the other routers, and takes it over if a majority has state. */
     private boolean recover() throws InterruptedException {
-        long mine = acceptor.incarnation();
+        long ownIncarnation = acceptor.incarnation();
         Tally tally = new Tally();
-        Function<String, Message> call = to -> Message.of(RegisterRequest.RECOVER, ask(to, 0, null, null));
-        // Where none of a few has a memory, hardly a majority has: only who may found the fleet needs to hear all each
-        // time.
+        Function<String, Message> call = to -> Message.of(RegisterRequest.RECOVER, request(to, 0, null, null));
+        // If none of a few routers has state, a majority is unlikely to: only the router that may found the fleet needs
+        // all replies each time.
         List<String> order = fanout.order();
         Collections.shuffle(order, new Random(random.nextLong()));
-        int first = bootstrap.isMine() ? order.size() : Math.min(order.size(), Math.min(majority, FEW));
-        fanout.ask(order.subList(0, first), call, ROUND, tally, t -> latest(t).size() >= majority);
+        int first = bootstrap.isFounder()
+                ? order.size()
+                : Math.min(order.size(), Math.min(majority, INITIAL_RECOVERY_PEERS));
+        fanout.query(
+                order.subList(0, first),
+                call,
+                ROUND_TIMEOUT,
+                tally,
+                t -> latestMembers(t).size() >= majority);
         if (first < order.size()
-                && latest(tally).size() < majority
+                && latestMembers(tally).size() < majority
                 && !tally.agreed().isEmpty()) {
-            fanout.ask(
+            fanout.query(
                     order.subList(first, order.size()),
                     call,
-                    ROUND,
+                    ROUND_TIMEOUT,
                     tally,
-                    t -> latest(t).size() >= majority);
+                    t -> latestMembers(t).size() >= majority);
         }
-        long over = tally.all().values().stream()
-                .mapToLong(r -> r.known(config.self()))
+        long endedIncarnation = tally.replies().values().stream()
+                .mapToLong(r -> r.incarnationOf(config.self()))
                 .max()
                 .orElse(0);
-        if (over > mine) {
-            acceptor.startOver(over);
+        if (endedIncarnation > ownIncarnation) {
+            acceptor.discardState(endedIncarnation);
             return false;
         }
-        Collection<RegisterResponse> latest = latest(tally).values();
+        Collection<RegisterResponse> latest = latestMembers(tally).values();
         if (latest.size() >= majority
-                && acceptor.recovered(mine, latest.iterator().next().generation(), latest)) {
-            LOG.info("calendar: recovered in generation {} from {} routers", acceptor.generation(), latest.size());
+                && acceptor.adoptState(ownIncarnation, latest.iterator().next().generation(), latest)) {
+            LOG.info(
+                    "calendar: recovered state of generation {} from {} routers", acceptor.generation(), latest.size());
             return true;
         }
         listener.unconfirmed(
                 "this router has no vote yet: " + latest.size() + " of " + majority + " routers with a memory heard");
-        bootstrap.consider(tally);
+        bootstrap.onFailedRound(tally);
         return acceptor.isMember();
     }
 
-    /** Those with a memory of the last generation that any of them holds. */
-    private static Map<String, RegisterResponse> latest(Tally tally) {
+    /** Returns the valid replies with state of the highest generation among them. */
+    private static Map<String, RegisterResponse> latestMembers(Tally tally) {
         long last = tally.agreed().values().stream()
                 .mapToLong(RegisterResponse::generation)
                 .max()
                 .orElse(0);
-        return tally.standing(r -> r.ok() && r.generation() == last && r.entry() != null && r.vector() != null);
+        return tally.valid(r -> r.ok() && r.generation() == last && r.entry() != null && r.vector() != null);
     }
 
-    // Accepting
+    // Ballots
 
-    /** Has the proposal accepted, if no more than other routers' ballots stand against it: these are let finish. */
-    private void decide(Proposal proposal) throws InterruptedException {
-        for (int attempt = 0; attempt < BALLOTS_AT_ONCE && !ballot(proposal) && hasQuorum; attempt++) {
-            tasks.sleep(Duration.ofMillis(random.nextInt(BACKOFF_MS << attempt)));
-            quiet();
+    /** Runs ballots for the proposal, backing off after each one that failed only because of competing ballots. */
+    private void proposeWithRetries(Proposal proposal) throws InterruptedException {
+        for (int attempt = 0; attempt < MAX_BALLOTS_IN_A_ROW && !runBallot(proposal) && hasQuorum; attempt++) {
+            tasks.sleep(Duration.ofMillis(random.nextInt(INITIAL_BACKOFF_MS << attempt)));
+            awaitQuiet();
         }
     }
 
-    /** Waits until no other router's ballot is going on here, or for so long that it does not matter. */
-    private void quiet() throws InterruptedException {
+    /** Waits until no ballot of another router is in progress here, or for a bounded number of checks. */
+    private void awaitQuiet() throws InterruptedException {
         long before = -1;
-        for (int i = 0; i < QUIET_LOOKS && before != acceptor.ballotsReceived(); i++) {
+        for (int i = 0; i < MAX_QUIET_CHECKS && before != acceptor.ballotsReceived(); i++) {
             before = acceptor.ballotsReceived();
-            tasks.sleep(Duration.ofMillis(QUIET_MS + random.nextInt(QUIET_MS)));
+            tasks.sleep(Duration.ofMillis(QUIET_CHECK_MS + random.nextInt(QUIET_CHECK_MS)));
         }
     }
 
-    /** One ballot: for the proposal, or where there is none, for what was voted for last. */
-    private boolean ballot(Proposal proposal) throws InterruptedException {
+    /** Runs one ballot, for the proposal or, if it is null, for the entry voted for last. */
+    private boolean runBallot(Proposal proposal) throws InterruptedException {
         long generation = acceptor.generation();
         round = Math.max(round, acceptor.promised().round()) + 1;
         Ballot ballot = new Ballot(round, config.self(), acceptor.incarnation());
-        Tally promises = all(RegisterRequest.PREPARE, generation, ballot, null);
-        promises.all()
+        Tally promises = queryUntilMajority(RegisterRequest.PREPARE, generation, ballot, null);
+        promises.replies()
                 .values()
                 .forEach(r -> round = Math.max(round, r.promised().round()));
-        Map<String, RegisterResponse> agreed = promises.standing(r -> r.ok() && r.entry() != null);
-        hasQuorum = promises.standing(r -> r.member() && r.generation() == generation)
-                        .size()
-                >= majority;
+        Map<String, RegisterResponse> agreed = promises.valid(r -> r.ok() && r.entry() != null);
+        hasQuorum =
+                promises.valid(r -> r.member() && r.generation() == generation).size() >= majority;
         if (agreed.size() < majority) {
             return false;
         }
@@ -354,22 +373,26 @@
                 .max(Comparator.comparing(RegisterResponse::ballot))
                 .orElseThrow()
                 .entry();
-        boolean fresh = proposal != null && !last.holds(config.self(), proposal.id());
-        Entry entry = fresh ? last.next(proposal.text(), config.self(), proposal.id()) : last;
-        Tally votes = all(RegisterRequest.ACCEPT, generation, ballot, entry);
-        votes.all().values().forEach(r -> round = Math.max(round, r.promised().round()));
+        boolean isNew = proposal != null && !last.contains(config.self(), proposal.id());
+        Entry entry = isNew ? last.next(proposal.text(), config.self(), proposal.id()) : last;
+        Tally votes = queryUntilMajority(RegisterRequest.ACCEPT, generation, ballot, entry);
+        votes.replies()
+                .values()
+                .forEach(r -> round = Math.max(round, r.promised().round()));
         if (votes.agreed().size() < majority) {
             return false;
         }
-        accepted(entry, ballot, votes.agreed());
+        announceAccepted(entry, ballot, votes.agreed());
         if (proposal != null) {
-            ordered(proposal, entry);
+            recordOrdered(proposal, entry);
         }
         return true;
     }
 
-    /** The proposal is in the sequence: as what was accepted, or before it, where another router's came on top at once. */
-    private void ordered(Proposal proposal, Entry entry) {
+    /**
+     * Records that the proposal is in the sequence, either as the accepted entry or as one that another entry replaced.
+     */
+    private void recordOrdered(Proposal proposal, Entry entry) {
         pending = null;
         history.write(
                 "calendar.ordered",
@@ -379,12 +402,12 @@
                 entry.version().toString());
         if (!proposal.text().equals(entry.text())) {
             LOG.warn(
-                    "calendar: this router's file was accepted, and overtaken at once by another router's, now {}",
+                    "calendar: this router's file was accepted, but another router's replaced it immediately; now {}",
                     entry.version());
         }
     }
 
-    private void accepted(Entry entry, Ballot ballot, Map<String, RegisterResponse> votes) {
+    private void announceAccepted(Entry entry, Ballot ballot, Map<String, RegisterResponse> votes) {
         history.write(
                 "calendar.accepted",
                 "version",
@@ -399,41 +422,46 @@
                 new ArrayList<>(votes.keySet()));
         acceptor.learn(entry, ballot);
         fanout.broadcast(
-                to -> Message.of(RegisterRequest.LEARN, ask(to, entry.version().generation(), ballot, entry)), ROUND);
+                to -> Message.of(
+                        RegisterRequest.LEARN, request(to, entry.version().generation(), ballot, entry)),
+                ROUND_TIMEOUT);
     }
 
-    // Confirming
+    // Confirmation
 
-    /** Whether a majority says that what this router knows to be accepted is the last that can have been. */
+    /**
+     * Returns whether a majority confirms that no entry later than the one this router has learned can have been
+     * accepted.
+     */
     private boolean confirm() throws InterruptedException {
         for (int attempt = 0; attempt < 3; attempt++) {
             long startNano = tasks.nanoTime();
-            Clocks clocks = new Clocks(tasks);
+            ClockComparison clocks = new ClockComparison(tasks);
             long generation = acceptor.generation();
             Tally tally = new Tally();
             tally.add(
                     config.self(),
-                    acceptor.answer(RegisterRequest.CONFIRM, ask(config.self(), generation, null, null)));
+                    acceptor.handle(RegisterRequest.CONFIRM, request(config.self(), generation, null, null)));
             List<String> order = fanout.order();
             int first = Math.min(order.size(), majority);
-            fanout.ask(
+            fanout.query(
                     order.subList(0, first),
-                    to -> Message.of(RegisterRequest.CONFIRM, ask(to, generation, null, null)),
-                    first < order.size() ? ROUND.dividedBy(2) : ROUND,
+                    to -> Message.of(RegisterRequest.CONFIRM, request(to, generation, null, null)),
+                    first < order.size() ? ROUND_TIMEOUT.dividedBy(2) : ROUND_TIMEOUT,
                     tally,
                     t -> t.agreed().size() >= majority);
             if (tally.agreed().size() < majority && first < order.size()) {
-                fanout.ask(
+                fanout.query(
                         order.subList(first, order.size()),
-                        to -> Message.of(RegisterRequest.CONFIRM, ask(to, generation, null, null)),
-                        ROUND,
+                        to -> Message.of(RegisterRequest.CONFIRM, request(to, generation, null, null)),
+                        ROUND_TIMEOUT,
                         tally,
                         t -> t.agreed().size() >= majority);
             }
             Map<String, RegisterResponse> agreed = tally.agreed();
             if (agreed.size() < majority) {
                 listener.unconfirmed("no majority: " + agreed.size() + " of " + majority + " routers heard");
-                bootstrap.consider(tally);
+                bootstrap.onFailedRound(tally);
                 return false;
             }
             Version last = agreed.values().stream()
@@ -452,7 +480,8 @@
     }
 
     /**
-     * Fetches what is newer from one that knows it; where nobody does, who voted for it is dead or slow, and it is finished here.
+     * Fetches the newer entry from a router that has learned it. If none has, the proposer has failed or is slow, and
+     * this router finishes its ballot.
      */
     private void catchUp(Map<String, RegisterResponse> replies, Version last) throws InterruptedException {
         Optional<Map.Entry<String, RegisterResponse>> knows = replies.entrySet().stream()
@@ -460,7 +489,7 @@
                 .max(Comparator.comparing(e -> e.getValue().learned()));
         if (knows.isPresent()) {
             Tally tally = new Tally();
-            fanout.ask(
+            fanout.query(
                     List.of(knows.get().getKey()),
                     to -> Message.of(
                             RegisterRequest.PULL,
@@ -474,23 +503,23 @@
                                     null,
                                     acceptor.learned().version(),
                                     null)),
-                    ROUND,
+                    ROUND_TIMEOUT,
                     tally,
                     t -> false);
-            tally.all().values().stream()
+            tally.replies().values().stream()
                     .filter(r -> r.news() != null)
                     .forEach(r -> acceptor.learn(r.news(), r.newsIn()));
             return;
         }
-        tasks.sleep(Duration.ofMillis(random.nextInt(FINISH_MS)));
-        quiet();
+        tasks.sleep(Duration.ofMillis(random.nextInt(MAX_FINISH_DELAY_MS)));
+        awaitQuiet();
         if (acceptor.learned().version().compareTo(last) < 0) {
-            ballot(null);
+            runBallot(null);
         }
     }
 
-    /** The proposal that waits for a majority, if any; for {@code STATUS}. */
-    boolean waits() {
+    /** Returns whether a proposal waits for a majority; for {@code STATUS}. */
+    boolean hasPendingProposal() {
         return pending != null;
     }
 }
--- a/router/src/main/java/stagepier/freeze/RegisterRequest.java
+++ b/router/src/main/java/stagepier/freeze/RegisterRequest.java
@@ -4,15 +4,16 @@
 import stagepier.fleet.Message;
 
 /**
- * What one router's register asks of another's. One form for all kinds; what a kind does not need is null or 0.
+ * A request from one router's register to another's. All kinds share this record; fields that a kind does not use are
+ * null or 0.
  *
- * @param fleet       hash of the names of the configured fleet: another one is another fleet
- * @param name        who asks
- * @param incarnation of who asks
- * @param yours       the last incarnation of the asked one that the asker knows of
- * @param generation  in which it is asked, or which is to be founded
- * @param after       for {@link #PULL}: a later one than this is wanted
- * @param vector      for {@link #FOUNDED}: incarnations of all that founded
+ * @param fleet       hash of the names of the configured fleet; routers with another hash are of another fleet
+ * @param name        name of the sender
+ * @param incarnation incarnation of the sender
+ * @param yours       the last incarnation of the receiver that the sender knows of
+ * @param generation  generation of the request, or the one to be founded
+ * @param after       for {@link #PULL}: the version after which a later one is requested
+ * @param vector      for {@link #FOUNDED}: incarnations of all routers that took part in the first phase
  */
 record RegisterRequest(
         String fleet,
@@ -25,36 +26,36 @@
         Version after,
         Map<String, Long> vector) {
     static final String PART = "calendar";
-    /** Which version have you voted for last, and which do you know to be accepted? */
+    /** Requests the last version voted for and the last version known to be accepted. */
     static final String CONFIRM = "calendar.confirm";
-    /** I have forgotten all: tell me what you hold. */
+    /** Requests the receiver's state; sent by a router that has none. */
     static final String RECOVER = "calendar.recover";
-    /** First phase: promise to vote in no earlier ballot. */
+    /** First phase of a ballot: requests the promise to vote in no earlier ballot. */
     static final String PREPARE = "calendar.prepare";
-    /** Second phase: vote. */
+    /** Second phase of a ballot: requests the vote. */
     static final String ACCEPT = "calendar.accept";
-    /** This was accepted. */
+    /** Announces an accepted entry. */
     static final String LEARN = "calendar.learn";
-    /** What do you know to be accepted after this? */
+    /** Requests a later accepted entry than the given version. */
     static final String PULL = "calendar.pull";
-    /** First phase of a founding, by all: vote no more in any earlier generation, and tell what you hold. */
+    /** First phase of a founding: requests the promise to vote in no earlier generation, and the receiver's state. */
     static final String FOUND = "calendar.found";
-    /** Second phase of a founding: from here on you have a memory again. */
+    /** Second phase of a founding: makes the receiver a member of the new generation. */
     static final String FOUNDED = "calendar.founded";
 
-    /** @throws Message.MalformedException where what this kind needs is not there */
+    /** @throws Message.MalformedException if a field that this kind requires is missing */
     void check(String kind, String from) throws Message.MalformedException {
         boolean needsBallot = kind.equals(PREPARE) || kind.equals(ACCEPT) || kind.equals(LEARN);
         boolean needsEntry = kind.equals(ACCEPT) || kind.equals(LEARN) || kind.equals(FOUNDED);
-        boolean whole = fleet != null
+        boolean complete = fleet != null
                 && from.equals(name)
                 && incarnation > 0
                 && (!needsBallot || ballot != null && ballot.name() != null)
                 && (!needsEntry || entry != null && entry.version() != null && entry.done() != null)
                 && (!kind.equals(PULL) || after != null)
                 && (!kind.equals(FOUNDED) || vector != null);
-        if (!whole) {
-            throw new Message.MalformedException(kind + " of " + from + " lacks what it needs");
+        if (!complete) {
+            throw new Message.MalformedException(kind + " from " + from + " lacks a required field");
         }
     }
 }
--- a/router/src/main/java/stagepier/freeze/RegisterResponse.java
+++ b/router/src/main/java/stagepier/freeze/RegisterResponse.java
@@ -3,24 +3,24 @@
 import java.util.Map;
 
 /**
- * What a register answers.
+ * The reply of a register.
  *
- * @param ok          it did what was asked
- * @param incarnation of who answers
- * @param member      it has a memory and may vote
- * @param generation  of what it holds; 0 where it holds nothing
- * @param earlier     the last generation that it promised to an earlier founder; 0 for none
- * @param highest     the last generation that it heard of in any way
- * @param promised    the highest ballot that it promised
- * @param ballot      in which it voted last
- * @param voted       for which version
- * @param learned     the last version that it knows to be accepted
- * @param wall        its wall clock in milliseconds since 1970
- * @param entry       what it voted for, where that was asked
- * @param news        what it knows to be accepted, where that was asked
- * @param newsIn      the ballot in which that was accepted
- * @param file        hash of its own file of windows, for a founding
- * @param vector      the last incarnation of each router that it knows of; null in what needs none
+ * @param ok          whether the request was carried out
+ * @param incarnation incarnation of the sender
+ * @param member      whether the sender has state and may vote
+ * @param generation  generation of the sender's state; 0 if it has none
+ * @param earlier     the last generation that the sender promised to an earlier founder; 0 for none
+ * @param highest     the highest generation that the sender has seen
+ * @param promised    the highest ballot that the sender promised
+ * @param ballot      the ballot of the sender's last vote
+ * @param voted       the version of the sender's last vote
+ * @param learned     the last version that the sender knows to be accepted
+ * @param wall        the sender's wall clock in milliseconds since 1970
+ * @param entry       the entry of the sender's last vote, if requested
+ * @param news        the last entry that the sender knows to be accepted, if requested
+ * @param newsIn      the ballot in which {@code news} was accepted
+ * @param file        hash of the windows in the sender's own file, for foundings
+ * @param vector      the last incarnation of each router that the sender knows of; null if the kind does not need it
  */
 record RegisterResponse(
         boolean ok,
@@ -39,8 +39,8 @@
         Ballot newsIn,
         String file,
         Map<String, Long> vector) {
-    /** Whether it may be used at all: fields that are absent are null. */
-    boolean whole() {
+    /** Whether all required fields are present; absent ones are null. */
+    boolean isComplete() {
         return incarnation > 0
                 && promised != null
                 && promised.name() != null
@@ -53,7 +53,7 @@
                         || news.version() != null && news.done() != null && newsIn != null && newsIn.name() != null);
     }
 
-    long known(String name) {
+    long incarnationOf(String name) {
         return vector == null ? 0 : vector.getOrDefault(name, 0L);
     }
 }
--- a/router/src/main/java/stagepier/freeze/Scope.java
+++ b/router/src/main/java/stagepier/freeze/Scope.java
@@ -3,13 +3,13 @@
 import java.util.Locale;
 
 /**
- * Which changes a window forbids.
+ * The set of changes that a window forbids.
  *
- * @param what all, those of one zone, or those of one kind
- * @param of   the zone's name, or the kind's in small letters; "" for all
+ * @param type all changes, those of one zone, or those of one kind
+ * @param name name of the zone, or of the kind in lower case; "" for all
  */
-record Scope(What what, String of) {
-    enum What {
+record Scope(Type type, String name) {
+    enum Type {
         ALL,
         ZONE,
         KIND
@@ -18,40 +18,42 @@
     private static final String ZONE = "zone:";
     private static final String KIND = "kind:";
 
-    /** @return null where it is none of {@code all}, {@code zone:NAME} and {@code kind:NAME} */
+    /** @return null if the text is not {@code all}, {@code zone:NAME} or {@code kind:NAME} */
     static Scope parse(String text) {
         if (text.equals("all")) {
-            return new Scope(What.ALL, "");
+            return new Scope(Type.ALL, "");
         }
         if (text.startsWith(ZONE) && text.length() > ZONE.length()) {
-            return new Scope(What.ZONE, text.substring(ZONE.length()));
+            return new Scope(Type.ZONE, text.substring(ZONE.length()));
         }
         if (text.startsWith(KIND)) {
             String kind = text.substring(KIND.length());
             for (Change.Kind k : Change.Kind.values()) {
                 if (k.name().toLowerCase(Locale.ROOT).equals(kind)) {
-                    return new Scope(What.KIND, kind);
+                    return new Scope(Type.KIND, kind);
                 }
             }
         }
         return null;
     }
 
-    /** A change of no zone, such as another discovery, may touch any zone. */
+    /**
+     * Whether the window forbids the change. A change without a zone, such as a move of discovery, may affect any zone.
+     */
     boolean covers(Change change) {
-        return switch (what) {
+        return switch (type) {
             case ALL -> true;
-            case ZONE -> change.zone().isEmpty() || change.zone().equals(of);
-            case KIND -> change.kind().name().equalsIgnoreCase(of);
+            case ZONE -> change.zone().isEmpty() || change.zone().equals(name);
+            case KIND -> change.kind().name().equalsIgnoreCase(name);
         };
     }
 
     @Override
     public String toString() {
-        return switch (what) {
+        return switch (type) {
             case ALL -> "all";
-            case ZONE -> ZONE + of;
-            case KIND -> KIND + of;
+            case ZONE -> ZONE + name;
+            case KIND -> KIND + name;
         };
     }
 }
--- a/router/src/main/java/stagepier/freeze/Tally.java
+++ b/router/src/main/java/stagepier/freeze/Tally.java
@@ -5,9 +5,9 @@
 import java.util.function.Predicate;
 
 /**
- * The replies of one round, without those that another reply of the round knows to come from a process that is over: what that
- * one promised or voted is forgotten (crash vectors; Michael, Ports, Sharma and Szekeres, <i>Recovering shared objects without
- * stable storage</i>, DISC 2017).
+ * The replies of one round. A reply is not counted if another reply of the round shows that its sender has since been
+ * replaced by a later incarnation, because the promises and votes of the ended process are lost (crash vectors;
+ * Michael, Ports, Sharma and Szekeres, <i>Recovering shared objects without stable storage</i>, DISC 2017).
  */
 final class Tally {
     private final Map<String, RegisterResponse> replies = new LinkedHashMap<>();
@@ -20,23 +20,23 @@
         return replies.size();
     }
 
-    Map<String, RegisterResponse> all() {
+    Map<String, RegisterResponse> replies() {
         return replies;
     }
 
-    /** Replies that count: of a process that none of this round's replies knows to be over. */
-    Map<String, RegisterResponse> standing(Predicate<RegisterResponse> which) {
-        Map<String, RegisterResponse> standing = new LinkedHashMap<>();
+    /** Returns the replies that pass the filter and whose sender no reply of this round shows to have ended. */
+    Map<String, RegisterResponse> valid(Predicate<RegisterResponse> filter) {
+        Map<String, RegisterResponse> valid = new LinkedHashMap<>();
         replies.forEach((name, reply) -> {
-            boolean over = replies.values().stream().anyMatch(r -> r.known(name) > reply.incarnation());
-            if (!over && which.test(reply)) {
-                standing.put(name, reply);
+            boolean ended = replies.values().stream().anyMatch(r -> r.incarnationOf(name) > reply.incarnation());
+            if (!ended && filter.test(reply)) {
+                valid.put(name, reply);
             }
         });
-        return standing;
+        return valid;
     }
 
     Map<String, RegisterResponse> agreed() {
-        return standing(RegisterResponse::ok);
+        return valid(RegisterResponse::ok);
     }
 }
--- a/router/src/main/java/stagepier/freeze/Version.java
+++ b/router/src/main/java/stagepier/freeze/Version.java
@@ -1,22 +1,23 @@
 package stagepier.freeze;
 
 /**
- * Names one accepted calendar, in the order of acceptance.
+ * Identifies an accepted calendar; ordered by acceptance.
  *
- * @param generation when the fleet was founded that accepted it, in milliseconds since 1970; grows with each founding
- * @param number     from 1; 0 stands for a fleet that was founded and has accepted none yet
+ * @param generation time of the founding of the fleet that accepted it, in milliseconds since 1970; grows with each
+ *                   founding
+ * @param number     counts from 1 within a generation; 0 for a founded fleet that has accepted no calendar yet
  */
 public record Version(long generation, int number) implements Comparable<Version> {
-    /** Before any founding. */
+    /** The version before any founding. */
     public static final Version NONE = new Version(0, 0);
-    /** Room for a million calendars in a generation, and for generations up to the year 2109. */
+    /** Leaves room for a million calendars per generation, and for generations up to the year 2109. */
     private static final int NUMBER_BITS = 20;
 
     Version next() {
         return new Version(generation, number + 1);
     }
 
-    /** The same order in one number, for {@link Calendar#version()}; 0 for none. */
+    /** Returns the version as one number of the same order, for {@link Calendar#version()}; 0 for none. */
     public long packed() {
         return generation << NUMBER_BITS | number;
     }
--- a/router/src/main/java/stagepier/freeze/Window.java
+++ b/router/src/main/java/stagepier/freeze/Window.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * A time in which some changes are forbidden, once or again and again. Immutable.
+ * A freeze window, during which some changes are forbidden; it occurs once or recurs by a rule. Immutable.
  *
- * @param end      null where it comes again by {@code rule}
- * @param rule     null where it comes once
- * @param duration of each time that it comes; null where it comes once
+ * @param end      null if the window recurs by {@code rule}
+ * @param rule     null if the window occurs once
+ * @param duration of each occurrence; null if the window occurs once
  */
 record Window(
         String name,
@@ -23,32 +23,35 @@
         Duration duration,
         Scope scope,
         String reason) {
-    /** Clocks are set by less than this. */
-    private static final Duration MARGIN = Duration.ofDays(2);
+    /** Exceeds any difference between local time and UTC and any offset transition. */
+    private static final Duration SEARCH_MARGIN = Duration.ofDays(2);
 
-    /** What holds from {@code startMs} to before {@code endMs}, in milliseconds since 1970. */
+    /**
+     * One occurrence of a window, from {@code startMs} inclusive to {@code endMs} exclusive, in milliseconds since
+     * 1970.
+     */
     record Span(long startMs, long endMs, Window window) {
-        boolean touches(long fromMs, long toMs) {
+        boolean overlaps(long fromMs, long toMs) {
             return startMs < toMs && endMs > fromMs;
         }
     }
 
-    /** When it holds between two moments. */
+    /** Returns the occurrences that overlap the given range. */
     List<Span> spans(Instant from, Instant to) {
         List<Span> spans = new ArrayList<>();
         if (rule == null) {
             spans.add(span(LocalTimes.earlier(start, zone), LocalTimes.later(end, zone)));
         } else {
-            LocalDateTime first = LocalDateTime.ofInstant(from.minus(duration).minus(MARGIN), zone);
-            LocalDateTime last = LocalDateTime.ofInstant(to.plus(MARGIN), zone);
-            for (LocalDateTime each : rule.starts(start, first, last)) {
-                Instant begins = LocalTimes.earlier(each, zone);
-                Instant byClock = LocalTimes.later(each.plus(duration), zone);
-                Instant byTime = begins.plus(duration);
-                spans.add(span(begins, byClock.isAfter(byTime) ? byClock : byTime));
+            LocalDateTime first = LocalDateTime.ofInstant(from.minus(duration).minus(SEARCH_MARGIN), zone);
+            LocalDateTime last = LocalDateTime.ofInstant(to.plus(SEARCH_MARGIN), zone);
+            for (LocalDateTime localStart : rule.starts(start, first, last)) {
+                Instant begins = LocalTimes.earlier(localStart, zone);
+                Instant localEnd = LocalTimes.later(localStart.plus(duration), zone);
+                Instant elapsedEnd = begins.plus(duration);
+                spans.add(span(begins, localEnd.isAfter(elapsedEnd) ? localEnd : elapsedEnd));
             }
         }
-        spans.removeIf(s -> !s.touches(from.toEpochMilli(), to.toEpochMilli()));
+        spans.removeIf(s -> !s.overlaps(from.toEpochMilli(), to.toEpochMilli()));
         return spans;
     }
 
--- a/router/src/main/java/stagepier/freeze/Windows.java
+++ b/router/src/main/java/stagepier/freeze/Windows.java
@@ -16,16 +16,19 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** All windows of a calendar, in the order of their names. Immutable; its text is the same wherever the windows are the same. */
+/** The windows of a calendar, sorted by name. Immutable; equal windows have equal text. */
 final class Windows {
-    /** Longest text in bytes: a message that holds it twice fits into {@link stagepier.fleet.FleetRpc#MAX_MESSAGE_BYTES}. */
-    static final int LONGEST = 12 * 1024;
+    /**
+     * Maximum size of the text: a message that holds it twice fits into {@link
+     * stagepier.fleet.FleetRpc#MAX_MESSAGE_BYTES}.
+     */
+    static final int MAX_TEXT_BYTES = 12 * 1024;
 
     private static final Gson GSON = new GsonBuilder().disableHtmlEscaping().create();
     private static final int HASH_BYTES = 8;
 
-    /** One window as it is written. */
-    private record Written(
+    /** The JSON form of a window. */
+    private record SerializedWindow(
             String name,
             String zone,
             String start,
@@ -42,7 +45,7 @@
         this.windows =
                 windows.stream().sorted(Comparator.comparing(Window::name)).toList();
         text = GSON.toJson(this.windows.stream()
-                .map(w -> new Written(
+                .map(w -> new SerializedWindow(
                         w.name(),
                         w.zone().getId(),
                         w.start().toString(),
@@ -55,18 +58,19 @@
     }
 
     /**
-     * Reads what {@link #text()} wrote, in this process or another.
+     * Parses the form that {@link #text()} returns, possibly written by another process.
      *
-     * @throws IllegalArgumentException where another build wrote what this one cannot read
+     * @throws IllegalArgumentException if another build wrote a text that this one cannot read
      */
     static Windows read(String text) {
         try {
             List<Window> windows = new ArrayList<>();
-            for (Written w : GSON.fromJson(text, Written[].class)) {
+            for (SerializedWindow w : GSON.fromJson(text, SerializedWindow[].class)) {
                 LocalDateTime start = LocalDateTime.parse(w.start());
                 Scope scope = Scope.parse(w.scope());
                 if (scope == null || (w.rule() == null) != (w.end() != null)) {
-                    throw new IllegalArgumentException("window " + w.name() + " makes no sense");
+                    throw new IllegalArgumentException(
+                            "window " + w.name() + " has an unknown scope, or not exactly one of end and rule");
                 }
                 windows.add(new Window(
                         w.name(),
@@ -80,11 +84,11 @@
             }
             return new Windows(windows);
         } catch (JsonParseException | DateTimeException | NullPointerException e) {
-            throw new IllegalArgumentException("no calendar: " + e.getMessage(), e);
+            throw new IllegalArgumentException("invalid calendar text: " + e.getMessage(), e);
         }
     }
 
-    /** Canonical: for messages, and for whether two are the same. */
+    /** Returns the canonical text, used in messages and to compare calendars. */
     String text() {
         return text;
     }
@@ -93,7 +97,7 @@
         return windows;
     }
 
-    /** When any of them holds between two moments, in the order of their beginning. */
+    /** Returns the occurrences of all windows that overlap the given range, sorted by start. */
     List<Window.Span> spans(Instant from, Instant to) {
         return windows.stream()
                 .flatMap(w -> w.spans(from, to).stream())
@@ -101,7 +105,7 @@
                 .toList();
     }
 
-    /** Names a text in histories and messages; "" for null. */
+    /** Returns the hash that identifies a text in histories and messages; "" for null. */
     static String hash(String text) {
         if (text == null) {
             return "";
--- a/router/src/main/java/stagepier/freeze/package-info.java
+++ b/router/src/main/java/stagepier/freeze/package-info.java
@@ -1,2 +1,5 @@
-/** A calendar of windows in which topology must not change, agreed by the fleet, and what is held meanwhile. */
+/**
+ * The freeze calendar: windows in which the topology must not change, agreed on by the fleet, and the changes held
+ * meanwhile.
+ */
 package stagepier.freeze;
--- a/router/src/test/java/stagepier/freeze/AgreedSequenceTest.java
+++ b/router/src/test/java/stagepier/freeze/AgreedSequenceTest.java
@@ -19,7 +19,7 @@
 import stagepier.fleet.SimulatedNetwork;
 import stagepier.fleet.VirtualWorld;
 
-/** A second sequence beside the calendar, in virtual time. */
+/** Tests a second agreed sequence beside the calendar, in virtual time. */
 @Timeout(60)
 class AgreedSequenceTest {
     private static final List<String> NAMES = List.of("n0", "n1", "n2", "n3", "n4");
@@ -27,7 +27,7 @@
     private final VirtualWorld world = new VirtualWorld(1);
     private final SimulatedNetwork net = new SimulatedNetwork(world);
     private final TreeMap<String, VirtualWorld.Node> nodes = new TreeMap<>();
-    private final TreeMap<String, AgreedSequence> texts = new TreeMap<>();
+    private final TreeMap<String, AgreedSequence> sequences = new TreeMap<>();
     private final List<String> events = new ArrayList<>();
     private long seed;
 
@@ -43,7 +43,7 @@
         agreed.start();
         calls.start();
         nodes.put(name, node);
-        texts.put(name, agreed);
+        sequences.put(name, agreed);
     }
 
     @AfterEach
@@ -52,36 +52,38 @@
     }
 
     private Boolean propose(String at, String text) {
-        AtomicReference<Boolean> said = new AtomicReference<>();
-        nodes.get(at).start("propose", () -> said.set(texts.get(at).propose(text, Duration.ofSeconds(5))));
-        assertTrue(world.runUntil(() -> said.get() != null, Duration.ofSeconds(10)));
-        return said.get();
+        AtomicReference<Boolean> accepted = new AtomicReference<>();
+        nodes.get(at).start("propose", () -> accepted.set(sequences.get(at).propose(text, Duration.ofSeconds(5))));
+        assertTrue(world.runUntil(() -> accepted.get() != null, Duration.ofSeconds(10)));
+        return accepted.get();
     }
 
-    private boolean all(String text) {
-        return texts.values().stream()
+    private boolean allLearned(String text) {
+        return sequences.values().stream()
                 .allMatch(t -> t.last() != null && t.last().text().equals(text));
     }
 
     @Test
-    void allLearnOneSequenceAndAMinorityAgreesOnNothing() {
+    void allRoutersLearnOneSequenceAndAMinorityCannotAgree() {
         NAMES.forEach(this::start);
         world.run(Duration.ofSeconds(10));
-        texts.values().forEach(t -> assertNull(t.last()));
+        sequences.values().forEach(t -> assertNull(t.last()));
         assertTrue(propose("n1", "a"));
-        assertTrue(world.runUntil(() -> all("a"), Duration.ofSeconds(3)));
-        long first = texts.get("n0").last().version();
+        assertTrue(world.runUntil(() -> allLearned("a"), Duration.ofSeconds(3)));
+        long first = sequences.get("n0").last().version();
         net.partition(NAMES.subList(0, 2), NAMES.subList(2, 5), true);
-        assertFalse(propose("n0", "b"), "two of five");
+        assertFalse(propose("n0", "b"), "two of five routers are no majority");
         assertTrue(propose("n4", "c"));
-        assertEquals("a", texts.get("n1").last().text());
+        assertEquals("a", sequences.get("n1").last().text());
         world.run(Duration.ofSeconds(10));
         net.heal();
-        assertTrue(world.runUntil(() -> all("c"), Duration.ofSeconds(3)));
-        assertTrue(texts.get("n0").last().version() > first);
+        assertTrue(world.runUntil(() -> allLearned("c"), Duration.ofSeconds(3)));
+        assertTrue(sequences.get("n0").last().version() > first);
         nodes.get("n3").kill();
         start("n3");
-        assertTrue(world.runUntil(() -> all("c"), Duration.ofSeconds(5)), "one that has forgotten learns it again");
+        assertTrue(
+                world.runUntil(() -> allLearned("c"), Duration.ofSeconds(5)),
+                "a restarted router learns the text again");
         assertTrue(events.stream().allMatch(e -> e.startsWith("promotion.")), events::toString);
     }
 }
--- a/router/src/test/java/stagepier/freeze/AgreementTest.java
+++ b/router/src/test/java/stagepier/freeze/AgreementTest.java
@@ -24,44 +24,45 @@
     }
 
     @Test
-    void aRouterWhoseFleetHasOtherNamesHasNoPart() {
+    void aRouterWithAnotherFleetListGetsNoReply() {
         try (VirtualFleet fleet = new VirtualFleet(2, 3, OPEN)) {
             fleet.startAll();
-            assertTrue(fleet.world.runUntil(fleet::agree, ms(5000)), fleet::story);
+            assertTrue(fleet.world.runUntil(fleet::allAgree, ms(5000)), fleet::transcript);
             VirtualWorld.Node other = fleet.world.node("r002", Duration.ZERO);
-            List<Boolean> whole = new ArrayList<>();
+            List<Boolean> complete = new ArrayList<>();
             other.start("asks", () -> {
                 for (String hash : List.of("other", Windows.hash("r000\nr001\nr002"))) {
-                    RegisterRequest ask = new RegisterRequest(hash, "r002", 1, 0, 0, null, null, null, null);
+                    RegisterRequest request = new RegisterRequest(hash, "r002", 1, 0, 0, null, null, null, null);
                     try {
-                        Message said =
-                                fleet.net.calls(other).call("r000", Message.of(RegisterRequest.CONFIRM, ask), ms(500));
-                        whole.add(said.read(RegisterResponse.class).whole());
+                        Message reply = fleet.net
+                                .calls(other)
+                                .call("r000", Message.of(RegisterRequest.CONFIRM, request), ms(500));
+                        complete.add(reply.read(RegisterResponse.class).isComplete());
                     } catch (FleetRpc.NoReplyException | Message.MalformedException e) {
                         throw new IllegalStateException(e);
                     }
                 }
             });
             fleet.world.run(ms(2000));
-            assertEquals(List.of(false, true), whole);
+            assertEquals(List.of(false, true), complete);
         }
     }
 
     @Test
-    void aFleetThatStartsIsFoundedAndAgreesAndTakesAProposal() {
+    void aStartingFleetIsFoundedAgreesAndAcceptsAProposal() {
         try (VirtualFleet fleet = new VirtualFleet(1, 14, OPEN)) {
-            fleet.known(FROZEN);
+            fleet.track(FROZEN);
             fleet.startAll();
-            fleet.askEach(ms(100));
-            assertTrue(fleet.world.runUntil(fleet::agree, ms(5000)), fleet::story);
+            fleet.queryEvery(ms(100));
+            assertTrue(fleet.world.runUntil(fleet::allAgree, ms(5000)), fleet::transcript);
             fleet.routers.get(5).propose(FROZEN);
 
             assertTrue(
                     fleet.world.runUntil(
                             () -> fleet.routers.stream().allMatch(r -> r.permit() == Calendar.Permit.FROZEN), ms(3000)),
-                    fleet::story);
+                    fleet::transcript);
             fleet.world.run(ms(5000));
-            assertEquals(List.of(), Judge.breaches(fleet));
+            assertEquals(List.of(), HistoryChecker.violations(fleet));
         }
     }
 }
--- a/router/src/test/java/stagepier/freeze/Calendars.java
+++ b/router/src/test/java/stagepier/freeze/Calendars.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 import java.time.ZoneOffset;
 
-/** Calendars for tests. */
+/** Creates calendars for tests. */
 final class Calendars {
     private Calendars() {}
 
-    /** One window for all changes, from and to a moment. */
+    /** Returns a calendar with one window for all changes between two instants. */
     static Windows window(String name, Instant start, Instant end) {
         return CalendarFile.parse(
                 "test",
--- a/router/src/test/java/stagepier/freeze/Faults.java
+++ b/router/src/test/java/stagepier/freeze/FaultInjector.java
@@ -6,29 +6,29 @@
 import java.util.List;
 import java.util.Random;
 
-/** Faults drawn from a seed: what happens to a fleet, and when. */
-final class Faults {
+/** Injects faults into a fleet, with kinds and times drawn from a seed. */
+final class FaultInjector {
     private final VirtualFleet fleet;
     private final Random random;
-    private final List<Windows> texts;
-    private final VirtualFleet.Router jumper;
+    private final List<Windows> calendars;
+    private final VirtualFleet.Router clockJumper;
     private int down;
-    private double standsUntil;
+    private double pausedUntil;
     private boolean healed;
 
-    Faults(VirtualFleet fleet, List<Windows> texts) {
+    FaultInjector(VirtualFleet fleet, List<Windows> calendars) {
         this.fleet = fleet;
-        this.texts = texts;
+        this.calendars = calendars;
         random = new Random(fleet.world.random().nextLong());
-        jumper = fleet.any(random);
-        texts.forEach(fleet::known);
+        clockJumper = fleet.any(random);
+        calendars.forEach(fleet::track);
     }
 
     private static Duration s(double seconds) {
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
-    /** So many faults and proposals in the time from now. */
+    /** Schedules the given numbers of faults and proposals at random times within the next seconds. */
     void plan(int faults, int proposals, double seconds) {
         for (int i = 0; i < faults; i++) {
             fleet.world.after(s(random.nextDouble() * seconds), this::fault);
@@ -39,14 +39,14 @@
     }
 
     private void propose(VirtualFleet.Router router) {
-        router.propose(texts.get(random.nextInt(texts.size())));
+        router.propose(calendars.get(random.nextInt(calendars.size())));
         if (random.nextInt(4) == 0) {
-            // Staff give another one a different file at the same moment.
-            fleet.any(random).propose(texts.get(random.nextInt(texts.size())));
+            // Another router gets a different file at the same moment.
+            fleet.any(random).propose(calendars.get(random.nextInt(calendars.size())));
         }
     }
 
-    private List<String> some(int count) {
+    private List<String> randomRouters(int count) {
         List<String> names =
                 new ArrayList<>(fleet.routers.stream().map(r -> r.name).toList());
         Collections.shuffle(names, random);
@@ -64,28 +64,29 @@
         int n = fleet.routers.size();
         double time = 0.3 + random.nextDouble() * 4;
         switch (random.nextInt(10)) {
-            case 0 -> partition(some(n / 2), time);
-            case 1 -> partition(some(1), time);
+            case 0 -> partition(randomRouters(n / 2), time);
+            case 1 -> partition(randomRouters(1), time);
             case 2 -> bridge(time);
-            case 3 -> oneWay(some(1 + random.nextInt(n / 2)), time);
-            case 4 -> flap(some(n / 2), 4);
+            case 3 -> oneWay(randomRouters(1 + random.nextInt(n / 2)), time);
+            case 4 -> flap(randomRouters(n / 2), 4);
             case 5 -> {
-                double stands = random.nextInt(2) == 0 ? 4 : time;
-                fleet.any(random).node.standStill(s(stands));
-                standsUntil = Math.max(standsUntil, fleet.world.seconds() + stands);
+                double pause = random.nextInt(2) == 0 ? 4 : time;
+                fleet.any(random).node.standStill(s(pause));
+                pausedUntil = Math.max(pausedUntil, fleet.world.seconds() + pause);
             }
             case 6 -> {
                 fleet.net.loss(0.05 + random.nextDouble() * 0.2);
                 fleet.world.after(s(time), () -> fleet.net.loss(0));
             }
-            // One clock at most is wrong at a time: where a majority's are, nobody can tell.
-            case 7 -> jumper.node.jump(s((random.nextBoolean() ? 1 : -1) * (30 + random.nextInt(5000))));
-            case 8 -> some(fleet.routers.size() / 2 + 1).forEach(name -> restart(name, random.nextDouble() * 2));
+            // At most one clock is wrong at a time: a majority of wrong clocks cannot be detected.
+            case 7 -> clockJumper.node.jump(s((random.nextBoolean() ? 1 : -1) * (30 + random.nextInt(5000))));
+            case 8 ->
+                randomRouters(fleet.routers.size() / 2 + 1).forEach(name -> restart(name, random.nextDouble() * 2));
             default -> restart(fleet.any(random).name, random.nextDouble() < 0.5 ? 0.001 : random.nextDouble() * 3);
         }
     }
 
-    void restart(String name, double later) {
+    void restart(String name, double delay) {
         VirtualFleet.Router router = fleet.routers.stream()
                 .filter(r -> r.name.equals(name))
                 .findFirst()
@@ -95,44 +96,44 @@
         }
         router.kill();
         down++;
-        fleet.world.after(s(later), () -> {
+        fleet.world.after(s(delay), () -> {
             down--;
             router.start();
         });
     }
 
-    /** No router is down or stands still any more. */
+    /** Whether no router is down or paused any more. */
     boolean allUp() {
-        return down == 0 && fleet.world.seconds() > standsUntil;
+        return down == 0 && fleet.world.seconds() > pausedUntil;
     }
 
-    /** From here on all hear each other. */
+    /** Removes all partitions and prevents new ones. */
     void heal() {
         healed = true;
         fleet.net.heal();
     }
 
-    private void partition(List<String> side, double time) {
+    private void partition(List<String> side, double seconds) {
         if (healed) {
             return;
         }
         List<String> other = rest(side);
         fleet.net.partition(side, other, true);
-        fleet.world.after(s(time), () -> fleet.net.partition(side, other, false));
+        fleet.world.after(s(seconds), () -> fleet.net.partition(side, other, false));
     }
 
-    private void bridge(double time) {
-        List<String> side = some(fleet.routers.size() / 2);
+    private void bridge(double seconds) {
+        List<String> side = randomRouters(fleet.routers.size() / 2);
         List<String> other = new ArrayList<>(rest(side));
         other.remove(0);
         fleet.net.partition(side, other, true);
-        fleet.world.after(s(time), () -> fleet.net.partition(side, other, false));
+        fleet.world.after(s(seconds), () -> fleet.net.partition(side, other, false));
     }
 
-    private void oneWay(List<String> deaf, double time) {
-        List<String> others = rest(deaf);
-        deaf.forEach(d -> others.forEach(o -> fleet.net.cut(o, d, true)));
-        fleet.world.after(s(time), () -> deaf.forEach(d -> others.forEach(o -> fleet.net.cut(o, d, false))));
+    private void oneWay(List<String> receivers, double seconds) {
+        List<String> others = rest(receivers);
+        receivers.forEach(r -> others.forEach(o -> fleet.net.cut(o, r, true)));
+        fleet.world.after(s(seconds), () -> receivers.forEach(r -> others.forEach(o -> fleet.net.cut(o, r, false))));
     }
 
     private void flap(List<String> side, int times) {
--- a/router/src/test/java/stagepier/freeze/HeldChangesTest.java
+++ b/router/src/test/java/stagepier/freeze/HeldChangesTest.java
@@ -16,13 +16,16 @@
 import org.junit.jupiter.api.Timeout;
 import stagepier.fleet.History;
 
-/** Guards against a freeze that lets a wave of cold servers through when it ends, or that plays what was overtaken. */
+/**
+ * Prevents a freeze from releasing many cold servers at once when it ends, and from applying changes that were
+ * replaced.
+ */
 @Timeout(30)
 class HeldChangesTest {
     private static final Duration INTERVAL = Duration.ofSeconds(2);
     private static final Instant START = Instant.parse("2026-12-05T18:00:00Z");
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private Calendar.Permit permit = Calendar.Permit.FROZEN;
     private Change.Kind openOnly;
     private final Calendar calendar = new Calendar() {
@@ -39,7 +42,7 @@
 
     private HeldChanges<String> held() {
         return new HeldChanges<>(
-                () -> calendar, (event, values) -> told.add(event + " " + values[3] + " " + values[7]), 5, INTERVAL);
+                () -> calendar, (event, values) -> events.add(event + " " + values[3] + " " + values[7]), 5, INTERVAL);
     }
 
     private static Change add(String server) {
@@ -54,7 +57,7 @@
         return (long) (seconds * 1e9) - 5_000_000_000L;
     }
 
-    private List<String> drain(HeldChanges<String> held, double from, double to) {
+    private List<String> release(HeldChanges<String> held, double from, double to) {
         List<String> out = new ArrayList<>();
         for (double t = from; t < to; t += 0.1) {
             out.addAll(held.due(at(t), nano(t)));
@@ -63,14 +66,14 @@
     }
 
     @Test
-    void openAndNothingHeldPassesAtOnce() {
+    void aChangeIsAppliedAtOnceIfOpenAndNoneIsHeld() {
         permit = Calendar.Permit.OPEN;
         assertTrue(held().offer(add("s1"), "x", at(0), nano(0)));
-        assertEquals(List.of("topology.admitted s1 7"), told);
+        assertEquals(List.of("topology.admitted s1 7"), events);
     }
 
     @Test
-    void theNewestOfEachServerIsTakenUpAndWhatWasOvertakenNever() {
+    void onlyTheNewestChangeOfEachServerIsReleased() {
         HeldChanges<String> held = held();
         assertFalse(held.offer(add("s1"), "s1 old", at(0), nano(0)));
         assertFalse(held.offer(new Change(Change.Kind.WEIGHT, "s1", "a"), "s1 new", at(1), nano(1)));
@@ -80,23 +83,24 @@
         assertFalse(held.offer(add("s4"), "s4", at(1), nano(1)));
         held.overtaken("s2");
         held.suspended("s4");
-        assertEquals(List.of(), drain(held, 2, 10));
+        assertEquals(List.of(), release(held, 2, 10));
         assertEquals(Duration.ofSeconds(10), held.oldest(nano(10)));
         assertEquals(3, held.size());
         permit = Calendar.Permit.OPEN;
-        List<String> out = drain(held, 10, 30);
+        List<String> out = release(held, 10, 30);
         Collections.sort(out);
         assertEquals(List.of("s1 new", "s3", "s4"), out);
         assertEquals(0, held.size());
         assertEquals(3, held.overtaken());
         assertEquals(3, held.released());
         assertEquals(
-                3, told.stream().filter(e -> e.startsWith("topology.overtaken")).count());
-        assertTrue(held.offer(add("s5"), "s5", at(40), nano(40)), "the line is empty again");
+                3,
+                events.stream().filter(e -> e.startsWith("topology.overtaken")).count());
+        assertTrue(held.offer(add("s5"), "s5", at(40), nano(40)), "the queue is empty again");
     }
 
     @Test
-    void whatIsNotWantedAnyMoreIsNeverDone() {
+    void aWithdrawnChangeIsNeverReleased() {
         HeldChanges<String> held = held();
         Change move = new Change(Change.Kind.MOVE_DISCOVERY, "", "");
         held.offer(move, "move", at(0), nano(0));
@@ -104,32 +108,32 @@
         assertEquals(1, held.size());
         held.withdrawn(move);
         permit = Calendar.Permit.OPEN;
-        assertEquals(List.of(), drain(held, 1, 10));
+        assertEquals(List.of(), release(held, 1, 10));
     }
 
     @Test
-    void whileSomethingIsHeldWhatComesNewGetsInLine() {
+    void newChangesAreQueuedWhileAnyIsHeld() {
         HeldChanges<String> held = held();
         held.offer(add("s1"), "s1", at(0), nano(0));
         permit = Calendar.Permit.OPEN;
         assertFalse(held.offer(add("s2"), "s2", at(1), nano(1)));
-        assertEquals(1, drain(held, 1, 2.95).size());
-        assertEquals(1, drain(held, 3, 6).size());
+        assertEquals(1, release(held, 1, 2.95).size());
+        assertEquals(1, release(held, 3, 6).size());
     }
 
     @Test
-    void eachIsAskedForByItselfWhenItsTimeComes() {
+    void eachHeldChangeIsReleasedWhenTheCalendarPermitsIt() {
         HeldChanges<String> held = held();
         held.offer(add("s1"), "s1", at(0), nano(0));
         held.offer(new Change(Change.Kind.WEIGHT, "s2", "a"), "s2", at(0), nano(0));
         openOnly = Change.Kind.WEIGHT;
-        assertEquals(List.of("s2"), drain(held, 1, 20));
+        assertEquals(List.of("s2"), release(held, 1, 20));
         permit = Calendar.Permit.OPEN;
-        assertEquals(List.of("s1"), drain(held, 20, 40));
+        assertEquals(List.of("s1"), release(held, 20, 40));
     }
 
     @Test
-    void itHoldsNoMoreThanItsBound() {
+    void theNumberOfHeldChangesIsBounded() {
         HeldChanges<String> held = held();
         for (int i = 0; i < 5000; i++) {
             held.offer(add("s" + i), "x", at(0), nano(0));
@@ -138,9 +142,12 @@
         assertEquals(904, held.refused());
     }
 
-    /** Over all routers: the same server at the same time, one a slot, and no router two within an interval. */
+    /**
+     * All routers release the same server at the same time, one per slot, and no router releases two within an
+     * interval.
+     */
     @Test
-    void routersThatHoldTheSameTakeUpTheSameServersInStep() {
+    void routersThatHoldTheSameChangesReleaseThemInStep() {
         Random random = new Random(11);
         Map<String, List<Double>> times = new HashMap<>();
         List<HeldChanges<String>> routers = new ArrayList<>();
@@ -159,7 +166,7 @@
         permit = Calendar.Permit.OPEN;
         for (double t = 10; t < 80; t += 0.05) {
             for (int r = 0; r < 14; r++) {
-                // By each one's clock the freeze ends at 20 s.
+                // The freeze ends at 20 s by the clock of each router.
                 if (t + clocks.get(r) >= 20) {
                     double now = t;
                     List<Double> of = mine.get(r);
--- a/router/src/test/java/stagepier/freeze/Judge.java
+++ b/router/src/test/java/stagepier/freeze/HistoryChecker.java
@@ -7,68 +7,71 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Says which promise a history of a {@link VirtualFleet} breaks. Trusts the history of votes and nothing of the product. */
-final class Judge {
+/**
+ * Finds the guarantees that a history of a {@link VirtualFleet} violates. Relies only on the recorded events, not on
+ * state of the product.
+ */
+final class HistoryChecker {
     private final VirtualFleet fleet;
-    private final List<String> breaches = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    private Judge(VirtualFleet fleet) {
+    private HistoryChecker(VirtualFleet fleet) {
         this.fleet = fleet;
     }
 
-    static List<String> breaches(VirtualFleet fleet) {
-        Judge judge = new Judge(fleet);
-        judge.oneSequence();
-        judge.learnedInOrder();
-        judge.confirmedIsLatest();
-        judge.nothingInsideAWindow();
-        judge.foundedOnWhatWasAccepted();
-        return judge.breaches;
+    static List<String> violations(VirtualFleet fleet) {
+        HistoryChecker checker = new HistoryChecker(fleet);
+        checker.oneSequence();
+        checker.learnedInOrder();
+        checker.confirmedIsLatest();
+        checker.nothingInsideAWindow();
+        checker.foundedOnWhatWasAccepted();
+        return checker.violations;
     }
 
     private List<VirtualFleet.Event> events(String what) {
         return fleet.events.stream().filter(e -> e.what().equals(what)).toList();
     }
 
-    /** P5: a version is one calendar, whoever counted its votes or heard of it. */
+    /** P5: a version stands for one calendar on all routers that accepted or learned it. */
     private void oneSequence() {
         Map<Version, String> hashes = new HashMap<>();
         for (VirtualFleet.Event e : fleet.events) {
             if (e.what().equals("calendar.accepted") || e.what().equals("calendar.learned")) {
                 String before = hashes.putIfAbsent(e.version(), e.text("hash"));
                 if (before != null && !before.equals(e.text("hash"))) {
-                    breaches.add("P5: " + e.version() + " is " + before + " and at " + e.at() + " in " + e.router()
+                    violations.add("P5: " + e.version() + " is " + before + " and at " + e.at() + " in " + e.router()
                             + " " + e.text("hash"));
                 }
             }
         }
     }
 
-    /** P5: no process goes back. */
+    /** P5: each process learns versions in increasing order. */
     private void learnedInOrder() {
         Map<String, Version> last = new HashMap<>();
         for (VirtualFleet.Event e : events("calendar.learned")) {
-            Version before = last.put(e.router() + "/" + e.life(), e.version());
+            Version before = last.put(e.router() + "/" + e.process(), e.version());
             if (before != null && before.compareTo(e.version()) >= 0) {
-                breaches.add("P5: " + e.router() + " learned " + e.version() + " after " + before);
+                violations.add("P5: " + e.router() + " learned " + e.version() + " after " + before);
             }
         }
     }
 
-    /** P5: who confirms at a time knows all that was accepted before. */
+    /** P5: a confirmation covers every calendar accepted before its start. */
     private void confirmedIsLatest() {
         TreeMap<Double, Version> latest = latest();
         for (VirtualFleet.Event e : events("calendar.lease")) {
             double start = ((Long) e.values().get("start") - 1_000_000_000L) / 1e9;
             Map.Entry<Double, Version> before = latest.lowerEntry(start);
             if (before != null && before.getValue().compareTo(e.version()) > 0) {
-                breaches.add("P5: " + e.router() + " confirmed " + e.version() + " at " + start + ", but "
+                violations.add("P5: " + e.router() + " confirmed " + e.version() + " at " + start + ", but "
                         + before.getValue() + " was accepted at " + before.getKey());
             }
         }
     }
 
-    /** The highest accepted version by the time of its acceptance. */
+    /** Returns the highest accepted version by time of acceptance. */
     private TreeMap<Double, Version> latest() {
         TreeMap<Double, Version> latest = new TreeMap<>();
         for (VirtualFleet.Event e : events("calendar.accepted")) {
@@ -80,8 +83,8 @@
     }
 
     /**
-     * P6: a founding begins with what was accepted last, or voted for since; with nothing; or with what all files say, where what was
-     * accepted last stands in no file any more.
+     * P6: a generation begins with the calendar that was accepted last, with one voted for since, with none, or with
+     * the one in all files if no file contains the calendar accepted last any more.
      */
     private void foundedOnWhatWasAccepted() {
         Map<Version, String> hashes = new HashMap<>();
@@ -101,7 +104,7 @@
                 boolean replaced = fleet.files.headMap(e.at(), true).tailMap(e.at() - 5).values().stream()
                         .anyMatch(f -> !f.contains(lost));
                 if (!survived && !replaced) {
-                    breaches.add("P6: " + e.version() + " begins with " + e.text("hash") + " in place of " + before
+                    violations.add("P6: " + e.version() + " begins with " + e.text("hash") + " in place of " + before
                             + " " + lost);
                 }
             }
@@ -116,7 +119,7 @@
         }
     }
 
-    /** P6: open is said only by what was accepted last before the lease, or by what was voted for since. */
+    /** P6: a router is open only by the calendar accepted last before the lease, or by one voted for since. */
     private void nothingInsideAWindow() {
         TreeMap<Double, Version> latest = latest();
         Map<Version, String> hashes = new HashMap<>();
@@ -124,34 +127,34 @@
         List<VirtualFleet.Event> votes = events("calendar.vote");
         votes.forEach(e -> firstVote.putIfAbsent(e.version(), e.at()));
         events("calendar.accepted").forEach(e -> hashes.put(e.version(), e.text("hash")));
-        for (VirtualFleet.Asked a : fleet.asked) {
-            if (a.permit() != Calendar.Permit.OPEN) {
+        for (VirtualFleet.Query query : fleet.queries) {
+            if (query.permit() != Calendar.Permit.OPEN) {
                 continue;
             }
-            double since = a.at() - fleet.lease.toNanos() / 1e9;
+            double since = query.at() - fleet.lease.toNanos() / 1e9;
             Optional<Version> last =
                     Optional.ofNullable(latest.floorEntry(since)).map(Map.Entry::getValue);
-            boolean allowed = last.isEmpty() && isOpen(hashes, null, a)
-                    || last.isPresent() && isOpen(hashes, last.get(), a)
+            boolean allowed = last.isEmpty() && isOpen(hashes, null, query)
+                    || last.isPresent() && isOpen(hashes, last.get(), query)
                     || hashes.keySet().stream()
                             .anyMatch(v -> (last.isEmpty() || v.compareTo(last.get()) > 0)
-                                    && firstVote.getOrDefault(v, 1e9) <= a.at()
-                                    && isOpen(hashes, v, a));
+                                    && firstVote.getOrDefault(v, 1e9) <= query.at()
+                                    && isOpen(hashes, v, query));
             if (!allowed) {
-                breaches.add("P6: " + a.router() + " was open at " + a.at() + " though " + last.orElse(null)
+                violations.add("P6: " + query.router() + " was open at " + query.at() + " though " + last.orElse(null)
                         + " forbids it");
                 return;
             }
         }
     }
 
-    private boolean isOpen(Map<Version, String> hashes, Version version, VirtualFleet.Asked a) {
+    private boolean isOpen(Map<Version, String> hashes, Version version, VirtualFleet.Query query) {
         if (version == null || hashes.get(version).isEmpty()) {
             return false;
         }
-        return fleet.texts
+        return fleet.windowsByHash
                 .get(hashes.get(version))
-                .spans(a.trueTime(), a.trueTime().plusMillis(1))
+                .spans(query.trueTime(), query.trueTime().plusMillis(1))
                 .isEmpty();
     }
 }
--- a/router/src/test/java/stagepier/freeze/LiveFleetTest.java
+++ b/router/src/test/java/stagepier/freeze/LiveFleetTest.java
@@ -23,7 +23,9 @@
 import stagepier.fleet.TcpFleetRpc;
 import stagepier.tasks.LiveTasks;
 
-/** The same code on threads and TCP: guards against what one task at a time cannot show. */
+/**
+ * Runs the agreement on threads and TCP, to find concurrency faults that the single-threaded simulation cannot show.
+ */
 @Timeout(60)
 class LiveFleetTest {
     private static final Change CHANGE = new Change(Change.Kind.ADD_SERVER, "s-1", "a");
@@ -31,7 +33,7 @@
             + "rule = \"FREQ=DAILY\"\nduration = \"P2D\"\nscope = \"all\"\nreason = \"test\"\n";
 
     private final List<LiveTasks> tasks = new ArrayList<>();
-    private final List<FreezeService> parts = new ArrayList<>();
+    private final List<FreezeService> services = new ArrayList<>();
 
     @AfterEach
     void stop() {
@@ -51,30 +53,30 @@
                 Duration.ofSeconds(2),
                 null);
         TcpFleetRpc calls = new TcpFleetRpc(mine, config, 1);
-        FreezeService part = new FreezeService(mine, calls, config, History.NONE, self.hashCode());
-        part.start();
+        FreezeService service = new FreezeService(mine, calls, config, History.NONE, self.hashCode());
+        service.start();
         calls.start();
         tasks.add(mine);
-        parts.add(part);
+        services.add(service);
     }
 
-    private void all(Calendar.Permit permit) throws InterruptedException {
-        BooleanSupplier holds = () -> parts.stream()
+    private void awaitAll(Calendar.Permit permit) throws InterruptedException {
+        BooleanSupplier condition = () -> services.stream()
                 .allMatch(p -> p.calendar()
                                 .ask(CHANGE, Clock.systemUTC().instant(), System.nanoTime())
                                 .permit()
                         == permit);
-        long until = System.nanoTime() + Duration.ofSeconds(30).toNanos();
-        while (!holds.getAsBoolean() && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + Duration.ofSeconds(30).toNanos();
+        while (!condition.getAsBoolean() && System.nanoTime() < deadline) {
             Thread.sleep(20);
         }
         assertTrue(
-                holds.getAsBoolean(),
-                () -> parts.stream().map(FreezeService::status).toList().toString());
+                condition.getAsBoolean(),
+                () -> services.stream().map(FreezeService::status).toList().toString());
     }
 
     @Test
-    void fiveAgreeAndEndInTime(@TempDir Path dir) throws IOException, InterruptedException {
+    void fiveRoutersAgreeAndStopInTime(@TempDir Path dir) throws IOException, InterruptedException {
         TreeMap<String, InetSocketAddress> members = new TreeMap<>();
         List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -89,19 +91,21 @@
             Files.writeString(dir.resolve(name), "");
             start(members, name, dir.resolve(name));
         }
-        all(Calendar.Permit.OPEN);
+        awaitAll(Calendar.Permit.OPEN);
         Files.writeString(dir.resolve("r3"), "nonsense");
-        parts.get(3).reload();
+        services.get(3).reload();
         Files.writeString(dir.resolve("r3"), NOW);
-        parts.get(3).reload();
-        all(Calendar.Permit.FROZEN);
-        assertTrue(parts.get(0).status().get(0).contains("by now"), parts.get(0).status()::toString);
-        assertEquals(1, parts.stream().map(FreezeService::version).distinct().count());
+        services.get(3).reload();
+        awaitAll(Calendar.Permit.FROZEN);
+        assertTrue(
+                services.get(0).status().get(0).contains("by now"),
+                services.get(0).status()::toString);
+        assertEquals(1, services.stream().map(FreezeService::version).distinct().count());
         long before = System.nanoTime();
         tasks.get(0).stop();
-        assertTrue(System.nanoTime() - before < Duration.ofSeconds(2).toNanos(), "a task does not end");
+        assertTrue(System.nanoTime() - before < Duration.ofSeconds(2).toNanos(), "a task did not stop within 2 s");
         tasks.remove(0);
-        parts.remove(0);
-        all(Calendar.Permit.FROZEN);
+        services.remove(0);
+        awaitAll(Calendar.Permit.FROZEN);
     }
 }
--- a/router/src/test/java/stagepier/freeze/PlantedTest.java
+++ b/router/src/test/java/stagepier/freeze/LostVoteTest.java
@@ -16,17 +16,18 @@
 import stagepier.fleet.History;
 
 /**
- * Histories that aim at forgotten promises and votes: routers are killed just as they vote, and are back at once. The right
- * memory withstands them; with a wrong one the judge has to find the breach, or it could find none.
+ * Prevents promises and votes that are lost in a restart from breaking the agreement: routers are killed just after
+ * they vote and restarted at once. The product's acceptor has to keep all guarantees. With faulty acceptors the checker
+ * has to find a violation, which shows that the histories and the checker can detect one.
  */
 @Timeout(300)
-class PlantedTest {
+class LostVoteTest {
     private static final Instant START = Instant.parse("2026-12-02T18:00:01Z");
     private static final long SEEDS = Long.getLong("planted", 60);
 
-    /** Votes without having recovered. */
-    private static final class Forgetful extends Acceptor {
-        Forgetful(String self, long incarnation, LongSupplier wallMs, History history) {
+    /** A faulty acceptor that votes without having recovered. */
+    private static final class VotingWithoutRecovery extends Acceptor {
+        VotingWithoutRecovery(String self, long incarnation, LongSupplier wallMs, History history) {
             super(self, incarnation, wallMs, history);
         }
 
@@ -36,14 +37,14 @@
         }
     }
 
-    /** Tells nobody which processes are over. */
-    private static final class WithoutVectors extends Acceptor {
-        WithoutVectors(String self, long incarnation, LongSupplier wallMs, History history) {
+    /** A faulty acceptor that does not tell other routers which processes have ended. */
+    private static final class WithoutCrashVectors extends Acceptor {
+        WithoutCrashVectors(String self, long incarnation, LongSupplier wallMs, History history) {
             super(self, incarnation, wallMs, history);
         }
 
         @Override
-        Map<String, Long> known() {
+        Map<String, Long> knownIncarnations() {
             return Map.of();
         }
     }
@@ -52,14 +53,14 @@
         return Calendars.window("w" + i, START.minusSeconds(60), START.plusSeconds(600 + i));
     }
 
-    private static List<String> play(long seed, VirtualFleet.Memory memory) {
-        try (VirtualFleet fleet = new VirtualFleet(seed, 5, text(0), memory)) {
+    private static List<String> runRandom(long seed, VirtualFleet.AcceptorFactory acceptors) {
+        try (VirtualFleet fleet = new VirtualFleet(seed, 5, text(0), acceptors)) {
             Random random = new Random(seed);
-            Faults faults = new Faults(fleet, List.of());
+            FaultInjector faults = new FaultInjector(fleet, List.of());
             fleet.startAll();
-            fleet.world.runUntil(fleet::agree, Duration.ofSeconds(10));
+            fleet.world.runUntil(fleet::allAgree, Duration.ofSeconds(10));
             fleet.net.delay(0.001, 0.05 + random.nextDouble() * 0.2);
-            fleet.watch(() -> {
+            fleet.afterEachEvent(() -> {
                 VirtualFleet.Event e = fleet.last();
                 boolean byAnother =
                         e.what().equals("calendar.vote") && !e.text("by").equals(e.router());
@@ -68,31 +69,32 @@
                 }
             });
             for (int i = 1; i <= 25; i++) {
-                Windows windows = fleet.known(text(i));
+                Windows windows = fleet.track(text(i));
                 fleet.world.after(
                         Duration.ofMillis(300L * i + random.nextInt(300)),
                         () -> fleet.any(random).propose(windows));
             }
             fleet.world.run(Duration.ofSeconds(9));
-            return Judge.breaches(fleet);
+            return HistoryChecker.violations(fleet);
         }
     }
 
     /**
-     * The case that crash vectors are for: the first router that votes for another's proposal forgets it at once, recovers from
-     * three that have not voted yet, of which one votes then. The proposer counts itself, the one that forgot and that last
-     * one; the other three, cut off, agree on something else.
+     * The case that crash vectors prevent: the first router that votes for another's proposal loses its state at once
+     * and recovers from three routers that have not voted yet, of which one votes afterwards. The proposer counts
+     * itself, the restarted router and that last one as a majority; the other three, partitioned from it, agree on
+     * another calendar.
      */
-    private static List<String> aimed(long seed, VirtualFleet.Memory memory) {
-        try (VirtualFleet fleet = new VirtualFleet(seed, 5, text(0), memory)) {
-            Faults faults = new Faults(fleet, List.of());
+    private static List<String> runTargeted(long seed, VirtualFleet.AcceptorFactory acceptors) {
+        try (VirtualFleet fleet = new VirtualFleet(seed, 5, text(0), acceptors)) {
+            FaultInjector faults = new FaultInjector(fleet, List.of());
             fleet.startAll();
-            assertTrue(fleet.world.runUntil(fleet::agree, Duration.ofSeconds(10)));
+            assertTrue(fleet.world.runUntil(fleet::allAgree, Duration.ofSeconds(10)));
             List<String> names =
                     new ArrayList<>(fleet.routers.stream().map(r -> r.name).toList());
             String proposer = names.remove(0);
             fleet.net.delay(0.02, 0.3);
-            fleet.watch(() -> {
+            fleet.afterEachEvent(() -> {
                 VirtualFleet.Event e = fleet.last();
                 boolean first = names.size() == 4
                         && e.what().equals("calendar.vote")
@@ -111,41 +113,41 @@
                             Duration.ofMillis(800),
                             () -> fleet.routers.stream()
                                     .filter(r -> r.name.equals(rest.get(1)))
-                                    .forEach(r -> r.propose(fleet.known(text(2)))));
+                                    .forEach(r -> r.propose(fleet.track(text(2)))));
                 }
             });
-            fleet.routers.get(0).propose(fleet.known(text(1)));
+            fleet.routers.get(0).propose(fleet.track(text(1)));
             fleet.world.run(Duration.ofSeconds(4));
-            return Judge.breaches(fleet);
+            return HistoryChecker.violations(fleet);
         }
     }
 
-    private interface Play {
-        List<String> breaches(long seed, VirtualFleet.Memory memory);
+    private interface Scenario {
+        List<String> violations(long seed, VirtualFleet.AcceptorFactory acceptors);
     }
 
-    /** How many of the histories break a promise. */
-    private static long found(Play play, VirtualFleet.Memory memory, long seeds) {
+    /** Returns how many of the histories violate a guarantee. */
+    private static long countViolating(Scenario scenario, VirtualFleet.AcceptorFactory acceptors, long seeds) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .filter(seed -> !play.breaches(seed, memory).isEmpty())
+                .filter(seed -> !scenario.violations(seed, acceptors).isEmpty())
                 .count();
     }
 
     @Test
-    void theRightMemoryWithstands() {
-        assertEquals(0, found(PlantedTest::play, Acceptor::new, SEEDS));
-        assertEquals(0, found(PlantedTest::aimed, Acceptor::new, SEEDS));
+    void theProductAcceptorKeepsAllGuarantees() {
+        assertEquals(0, countViolating(LostVoteTest::runRandom, Acceptor::new, SEEDS));
+        assertEquals(0, countViolating(LostVoteTest::runTargeted, Acceptor::new, SEEDS));
     }
 
     @Test
-    void aVoteWithoutRecoveryIsFound() {
-        assertTrue(found(PlantedTest::play, Forgetful::new, SEEDS) > 0);
+    void votingWithoutRecoveryIsDetected() {
+        assertTrue(countViolating(LostVoteTest::runRandom, VotingWithoutRecovery::new, SEEDS) > 0);
     }
 
     @Test
-    void aMemoryWithoutCrashVectorsIsFound() {
-        long found = found(PlantedTest::aimed, WithoutVectors::new, SEEDS);
-        assertTrue(found > 0);
+    void anAcceptorWithoutCrashVectorsIsDetected() {
+        long violating = countViolating(LostVoteTest::runTargeted, WithoutCrashVectors::new, SEEDS);
+        assertTrue(violating > 0);
     }
 }
