--- a/router/src/test/java/stagepier/freeze/HistoriesTest.java
+++ b/router/src/test/java/stagepier/freeze/RandomHistoriesTest.java
@@ -11,37 +11,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** P5, P6 and P8 over histories that a seed draws: faults of all kinds while staff propose calendars. */
+/**
+ * Checks the guarantees P5, P6 and P8 over histories drawn from seeds: faults of all kinds while calendars are
+ * proposed.
+ */
 @Timeout(600)
-class HistoriesTest {
+class RandomHistoriesTest {
     private static final Instant START = Instant.parse("2026-12-02T18:00:01Z");
     private static final Windows OPEN = Calendars.window("past", START.minusSeconds(7200), START.minusSeconds(3600));
     private static final Windows FROZEN = Calendars.window("now", START.minusSeconds(60), START.plusSeconds(3600));
     private static final Windows SOON = Calendars.window("soon", START.plusSeconds(5), START.plusSeconds(9));
     private static final double FAULTS_S = 8;
 
-    /** What a history broke, and how long the fleet took after it to accept and to know. */
-    record Outcome(long seed, List<String> breaches, double settled, double accepted, double known) {}
+    /**
+     * The violations of a history, and how many seconds the fleet took afterwards to settle, to accept and to learn a
+     * calendar.
+     */
+    record Outcome(long seed, List<String> violations, double settled, double accepted, double known) {}
 
     private static Duration s(double seconds) {
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
-    static Outcome play(long seed, int n, int faults, VirtualFleet.Memory memory) {
-        try (VirtualFleet fleet = new VirtualFleet(seed, n, OPEN, memory)) {
+    static Outcome run(long seed, int n, int faults, VirtualFleet.AcceptorFactory acceptors) {
+        try (VirtualFleet fleet = new VirtualFleet(seed, n, OPEN, acceptors)) {
             fleet.routers.forEach(
-                    r -> r.wallOff = Duration.ofMillis(fleet.world.random().nextInt(2000) - 1000));
-            Faults plan = new Faults(fleet, List.of(OPEN, FROZEN, SOON));
+                    r -> r.wallOffset = Duration.ofMillis(fleet.world.random().nextInt(2000) - 1000));
+            FaultInjector injector = new FaultInjector(fleet, List.of(OPEN, FROZEN, SOON));
             fleet.startAll();
-            fleet.askEach(Duration.ofMillis(100));
-            plan.plan(faults, 6, FAULTS_S);
+            fleet.queryEvery(Duration.ofMillis(100));
+            injector.plan(faults, 6, FAULTS_S);
             fleet.world.run(s(FAULTS_S));
-            List<String> breaches = new ArrayList<>();
-            fleet.world.runUntil(plan::allUp, s(10));
-            plan.heal();
-            // Staff have set the clocks right, and give a new calendar.
+            List<String> violations = new ArrayList<>();
+            fleet.world.runUntil(injector::allUp, s(10));
+            injector.heal();
+            // The clocks are corrected and a new calendar is proposed.
             fleet.routers.forEach(r -> r.node.jump(
-                    Duration.between(r.node.wall().instant(), fleet.trueTime().plus(r.wallOff))));
+                    Duration.between(r.node.wall().instant(), fleet.trueTime().plus(r.wallOffset))));
             double healed = fleet.world.seconds();
             boolean settled = fleet.world.runUntil(
                     () -> fleet.routers.stream().allMatch(r -> !r.learned().equals(Version.NONE))
@@ -53,13 +59,13 @@
                     s(15));
             double settledAt = fleet.world.seconds();
             if (!settled) {
-                breaches.add("does not settle in 15 s after healing");
+                violations.add("does not settle in 15 s after healing");
             }
-            Windows last = fleet.known(
+            Windows last = fleet.track(
                     Calendars.window("last", START.minusSeconds(60), START.plusSeconds(3600 + seed % 1000)));
-            VirtualFleet.Router by = fleet.any(fleet.world.random());
+            VirtualFleet.Router proposer = fleet.any(fleet.world.random());
             int before = fleet.events.size();
-            by.propose(last);
+            proposer.propose(last);
             boolean accepted = fleet.world.runUntil(
                     () -> fleet.events.subList(before, fleet.events.size()).stream()
                             .anyMatch(e -> e.what().equals("calendar.ordered")
@@ -67,7 +73,7 @@
                     s(2));
             double acceptedAt = fleet.world.seconds();
             if (!accepted) {
-                breaches.add("P8: not accepted within 2 s");
+                violations.add("P8: not accepted within 2 s");
             }
             Version version = fleet.events.stream()
                     .filter(e -> e.what().equals("calendar.ordered")
@@ -81,26 +87,29 @@
                                     r -> r.learned().compareTo(version) >= 0 && r.permit() != Calendar.Permit.UNKNOWN),
                     s(3));
             if (!known) {
-                breaches.add("P8: not known by all within 3 s");
+                violations.add("P8: not known by all within 3 s");
             }
-            breaches.addAll(Judge.breaches(fleet));
-            if (!breaches.isEmpty() && Boolean.getBoolean("story")) {
-                System.out.println("seed " + seed + " " + breaches + " healed " + healed + "\n" + fleet.story());
+            violations.addAll(HistoryChecker.violations(fleet));
+            if (!violations.isEmpty() && Boolean.getBoolean("story")) {
+                System.out.println("seed " + seed + " " + violations + " healed " + healed + "\n" + fleet.transcript());
             }
             return new Outcome(
-                    seed, breaches, settledAt - healed, acceptedAt - settledAt, fleet.world.seconds() - settledAt);
+                    seed, violations, settledAt - healed, acceptedAt - settledAt, fleet.world.seconds() - settledAt);
         }
     }
 
-    private static void all(int n, int faults, long from, int count) {
+    private static void runAll(int n, int faults, long from, int count) {
         List<Outcome> outcomes = LongStream.range(from, from + count)
                 .parallel()
-                .mapToObj(seed -> play(seed, n, faults, Acceptor::new))
+                .mapToObj(seed -> run(seed, n, faults, Acceptor::new))
                 .toList();
         report(n, outcomes);
         assertEquals(
                 List.of(),
-                outcomes.stream().filter(o -> !o.breaches().isEmpty()).limit(5).toList());
+                outcomes.stream()
+                        .filter(o -> !o.violations().isEmpty())
+                        .limit(5)
+                        .toList());
     }
 
     private static void report(int n, List<Outcome> outcomes) {
@@ -124,22 +133,22 @@
     }
 
     @Test
-    void threeRouters() {
-        all(3, 6, 20_000, Integer.getInteger("histories.3", 300));
+    void threeRoutersKeepTheGuarantees() {
+        runAll(3, 6, 20_000, Integer.getInteger("histories.3", 300));
     }
 
     @Test
-    void fiveRouters() {
-        all(5, 6, 10_000, Integer.getInteger("histories.5", 400));
+    void fiveRoutersKeepTheGuarantees() {
+        runAll(5, 6, 10_000, Integer.getInteger("histories.5", 400));
     }
 
     @Test
-    void thirteenRouters() {
-        all(13, 5, 30_000, Integer.getInteger("histories.13", 20));
+    void thirteenRoutersKeepTheGuarantees() {
+        runAll(13, 5, 30_000, Integer.getInteger("histories.13", 20));
     }
 
     @Test
-    void fourteenRouters() {
-        all(14, 5, 1, Integer.getInteger("histories.14", 40));
+    void fourteenRoutersKeepTheGuarantees() {
+        runAll(14, 5, 1, Integer.getInteger("histories.14", 40));
     }
 }
--- a/router/src/test/java/stagepier/freeze/VirtualFleet.java
+++ b/router/src/test/java/stagepier/freeze/VirtualFleet.java
@@ -17,18 +17,21 @@
 import stagepier.fleet.SimulatedNetwork;
 import stagepier.fleet.VirtualWorld;
 
-/** A fleet with a calendar in virtual time: routers that are killed, stopped and restarted, and files that outlive them. */
+/**
+ * A fleet with a calendar in virtual time: routers that are killed, paused and restarted, and files that survive
+ * restarts.
+ */
 final class VirtualFleet implements AutoCloseable {
     static final Duration SKEW = Duration.ofSeconds(2);
     private static final Change CHANGE = new Change(Change.Kind.ADD_SERVER, "s-1", "a");
 
-    /** Makes what a router remembers; tests plant a wrong one. */
-    interface Memory {
+    /** Creates the acceptor of a router; tests replace it with a faulty one. */
+    interface AcceptorFactory {
         Acceptor make(String self, long incarnation, LongSupplier wallMs, History history);
     }
 
-    /** What one router wrote at one time. */
-    record Event(double at, String router, int life, String what, Map<String, Object> values) {
+    /** A history event of one router. */
+    record Event(double at, String router, int process, String what, Map<String, Object> values) {
         String text(String name) {
             return String.valueOf(values.get(name));
         }
@@ -39,17 +42,17 @@
         }
     }
 
-    /** Something that answers at one time whether a voluntary change may be taken up. */
-    record Asked(double at, Instant trueTime, String router, Calendar.Permit permit) {}
+    /** The answer of a router at one time whether a voluntary change may be applied. */
+    record Query(double at, Instant trueTime, String router, Calendar.Permit permit) {}
 
-    /** One router and its processes, one after the other. */
+    /** One router and its successive processes. */
     final class Router {
         final String name;
         Windows file;
-        Duration wallOff = Duration.ZERO;
+        Duration wallOffset = Duration.ZERO;
         VirtualWorld.Node node;
-        FreezeService part;
-        int life;
+        FreezeService service;
+        int process;
 
         Router(String name, Windows file) {
             this.name = name;
@@ -57,12 +60,12 @@
         }
 
         void start() {
-            life++;
-            int mine = life;
-            node = world.node(name, wallOff);
+            process++;
+            int startedProcess = process;
+            node = world.node(name, wallOffset);
             var calls = net.calls(node);
-            History history = (what, values) -> write(this, mine, what, values);
-            VirtualWorld.Node at = node;
+            History history = (event, values) -> write(this, startedProcess, event, values);
+            VirtualWorld.Node startedNode = node;
             FleetConfig config = new FleetConfig(
                     Path.of("fleet.toml"),
                     "hash",
@@ -74,19 +77,19 @@
                     SKEW,
                     null);
             long seed = world.random().nextLong();
-            part = new FreezeService(
+            service = new FreezeService(
                     node,
                     calls,
                     config,
                     history,
                     seed,
                     () -> file,
-                    memory.make(
+                    acceptors.make(
                             name,
                             Incarnations.first(node.wall(), seed),
-                            () -> at.wall().millis(),
+                            () -> startedNode.wall().millis(),
                             history));
-            part.start();
+            service.start();
             calls.start();
         }
 
@@ -103,18 +106,18 @@
         void propose(Windows windows) {
             file = windows;
             if (isUp()) {
-                part.reload();
+                service.reload();
             }
         }
 
         Calendar.Permit permit() {
-            return part.calendar()
+            return service.calendar()
                     .ask(CHANGE, node.wall().instant(), node.nanoTime())
                     .permit();
         }
 
         Version learned() {
-            return part.learned();
+            return service.learned();
         }
     }
 
@@ -123,30 +126,30 @@
     final SimulatedNetwork net;
     final List<Router> routers = new ArrayList<>();
     final List<Event> events = new ArrayList<>();
-    final List<Asked> asked = new ArrayList<>();
-    final Map<String, Windows> texts = new LinkedHashMap<>();
-    /** What the files of all routers said, each hash once, by the time. */
+    final List<Query> queries = new ArrayList<>();
+    final Map<String, Windows> windowsByHash = new LinkedHashMap<>();
+    /** The distinct hashes of all routers' files, by time. */
     final TreeMap<Double, List<String>> files = new TreeMap<>();
 
     private final TreeMap<String, InetSocketAddress> addresses = new TreeMap<>();
-    private final Memory memory;
-    private Runnable watch = () -> {};
+    private final AcceptorFactory acceptors;
+    private Runnable afterEvent = () -> {};
 
-    VirtualFleet(long seed, int n, Windows file, Memory memory) {
-        this.memory = memory;
+    VirtualFleet(long seed, int n, Windows file, AcceptorFactory acceptors) {
+        this.acceptors = acceptors;
         world = new VirtualWorld(seed);
         net = new SimulatedNetwork(world);
         IntStream.range(0, n)
                 .forEach(i -> addresses.put("r%03d".formatted(i), new InetSocketAddress("127.0.0.1", 1000 + i)));
-        addresses.keySet().forEach(name -> routers.add(new Router(name, known(file))));
+        addresses.keySet().forEach(name -> routers.add(new Router(name, track(file))));
     }
 
     VirtualFleet(long seed, int n, Windows file) {
         this(seed, n, file, Acceptor::new);
     }
 
-    Windows known(Windows windows) {
-        texts.put(Windows.hash(windows.text()), windows);
+    Windows track(Windows windows) {
+        windowsByHash.put(Windows.hash(windows.text()), windows);
         return windows;
     }
 
@@ -154,62 +157,65 @@
         routers.forEach(Router::start);
     }
 
-    /** The time that all clocks are meant to show. */
+    /** Returns the time that all clocks should show. */
     Instant trueTime() {
         return world.node("clock", Duration.ZERO).wall().instant();
     }
 
-    /** Done after each event, to choose faults by what happens. */
-    void watch(Runnable afterEach) {
-        watch = afterEach;
+    /** Sets a listener that runs after each event, so that faults can depend on events. */
+    void afterEachEvent(Runnable listener) {
+        afterEvent = listener;
     }
 
     Event last() {
         return events.get(events.size() - 1);
     }
 
-    private void write(Router router, int life, String what, Object... values) {
+    private void write(Router router, int process, String what, Object... values) {
         Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < values.length; i += 2) {
             map.put((String) values[i], values[i + 1]);
         }
-        events.add(new Event(world.seconds(), router.name, life, what, map));
+        events.add(new Event(world.seconds(), router.name, process, what, map));
         files.put(
                 world.seconds(),
                 routers.stream()
                         .map(r -> Windows.hash(r.file.text()))
                         .distinct()
                         .toList());
-        watch.run();
+        afterEvent.run();
     }
 
-    /** From here on all routers are asked now and then whether a change may be taken up. */
-    void askEach(Duration time) {
-        world.after(time, () -> {
+    /** Queries all routers at the given interval from now on whether a change may be applied. */
+    void queryEvery(Duration interval) {
+        world.after(interval, () -> {
             for (Router r : routers) {
                 if (r.isUp()) {
-                    asked.add(new Asked(world.seconds(), trueTime(), r.name, r.permit()));
+                    queries.add(new Query(world.seconds(), trueTime(), r.name, r.permit()));
                 }
             }
-            askEach(time);
+            queryEvery(interval);
         });
     }
 
-    boolean agree() {
+    boolean allAgree() {
         return routers.stream().allMatch(r -> r.isUp() && r.permit() != Calendar.Permit.UNKNOWN)
                 && routers.stream().map(Router::learned).distinct().count() == 1;
     }
 
-    /** What happened, a line each, and how it ended. */
-    String story() {
-        StringBuilder story = new StringBuilder();
-        events.forEach(
-                e -> story.append("%.3f %s/%d %s %s%n".formatted(e.at(), e.router(), e.life(), e.what(), e.values())));
+    /** Returns the history, one event per line, and the final status of each router. */
+    String transcript() {
+        StringBuilder transcript = new StringBuilder();
+        events.forEach(e -> transcript.append(
+                "%.3f %s/%d %s %s%n".formatted(e.at(), e.router(), e.process(), e.what(), e.values())));
         routers.stream()
                 .filter(Router::isUp)
-                .forEach(r ->
-                        story.append(r.name).append(' ').append(r.part.status()).append('\n'));
-        return story.toString();
+                .forEach(r -> transcript
+                        .append(r.name)
+                        .append(' ')
+                        .append(r.service.status())
+                        .append('\n'));
+        return transcript.toString();
     }
 
     Router any(Random random) {
