--- a/router/src/main/java/stagepier/Api.java
+++ b/router/src/main/java/stagepier/Api.java
@@ -4,62 +4,62 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: the facts it is given, the events that call into it
- * ({@link Events}) and the actions it asks of its host ({@link Host}).
+ * The complete interface of the decision module: its settings and data types, the events that the host delivers
+ * ({@link Events}) and the actions that it requests from the host ({@link Host}).
  *
- * <p>An instance serves one balancer, is called by one thread at a time, does no I/O and reads no clock:
- * every event carries the time. Times and durations are in seconds. Actions are called back within an event,
- * in the order in which they are to take effect.
+ * <p>An instance serves one router, is called by one thread at a time, does no I/O and reads no clock: every event
+ * carries the time. Times and durations are in seconds. The module calls the host's actions during an event, in the
+ * order in which they take effect.
  */
 public final class Api {
-    /** The module reports to other balancers so often on the mean, in shortest deadlines. */
+    /** Mean period of the reports to other routers, in units of the shortest deadline. */
     public static final double REPORT_PERIOD_IN_DEADLINES = 0.18;
 
     private Api() {}
 
-    /** What a repeat of a request may do. */
+    /** Whether a request may be executed more than once. */
     public enum Repeat {
-        /** May run any number of times. */
+        /** May be executed any number of times. */
         SAFE,
-        /** Carries a key by which the servers of its {@link Scope} drop repeats for a while. */
+        /** Carries a key by which the servers of its {@link Scope} drop repeats within a time window. */
         KEYED,
-        /** Must not run twice. */
+        /** Must not be executed twice. */
         UNSAFE
     }
 
-    /** The servers that drop each other's repeats of a keyed request. */
+    /** The group of servers that deduplicate a keyed request among each other. */
     public enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** What a member's weight stands for. */
+    /** Meaning of a member's weight. */
     public enum WeightMeaning {
-        /** Nothing; it is constant. */
+        /** No meaning; it is constant. */
         NONE,
         /** The registered or approximate size. */
         SIZE,
-        /** The size, lowered the more requests the server held some time ago. */
+        /** The size, reduced by the number of requests that the server held some time ago. */
         LIVE
     }
 
-    /** Where a miss is fetched. */
+    /** Which component fetches a miss. */
     public enum Fetching {
-        /** The cache server fetches what it lacks. */
+        /** The cache server fetches it from the origin. */
         THROUGH,
-        /** The cache server answers {@link Outcome#MISS} and the balancer asks the origin. */
+        /** The cache server answers {@link Outcome#MISS} and the router sends the request to the origin. */
         ASIDE
     }
 
-    /** State of a member in the list of servers. */
+    /** State of a member in the server list. */
     public enum MemberState {
         READY,
         DRAINING,
         GONE
     }
 
-    /** How an attempt ended. */
+    /** Result of an attempt. */
     public enum Outcome {
         OK(false),
         ERROR(false),
@@ -77,13 +77,13 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether the outcome proves that the attempt never ran. */
+        /** Returns whether the outcome proves that the request was not executed by this attempt. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
-    /** What a server said of the lookup itself. */
+    /** Result of the cache lookup as reported by the server. */
     public enum Lookup {
         UNKNOWN,
         HIT,
@@ -94,10 +94,10 @@
     /**
      * A class of requests.
      *
-     * @param target         answers within this time earn full worth
-     * @param deadline    the client gives up after this time, over all its tries
-     * @param lateWorth   part of the worth that an answer between aim and deadline earns
-     * @param dedupWindow for keyed ones: how long a repeat is dropped, from the first send that may have run
+     * @param dedupWindow for keyed requests: period in which repeats are dropped, from the first send that may have run
+     * @param target      answers within this time have their full worth
+     * @param deadline    the client gives up after this time, counted over all its tries
+     * @param lateWorth   fraction of the worth of an answer between target and deadline
      * @param streamed    the answer is streamed, see {@link Events#onFirstByte}
      */
     public record RequestClass(
@@ -110,13 +110,13 @@
             double lateWorth,
             boolean streamed) {}
 
-    /** A tenant: its part of the service, and requests per second within its share over all balancers. */
+    /** A tenant: its share of the service, and its quota in requests per second over all routers. */
     public record Tenant(double share, double quotaPerSecond) {}
 
     /**
-     * What the host permits. A {@code maxRetryAfter} of 0 means that clients get no advice.
+     * Limits set by the host. With a {@code maxRetryAfter} of 0, refusals carry no retry-after advice.
      *
-     * @param peers balancers may tell each other {@link ServerReport}
+     * @param peers routers may exchange {@link ServerReport}s
      */
     public record Limits(
             int maxAttempts,
@@ -126,7 +126,7 @@
             double maxRetryAfter,
             double connectTimeout,
             boolean peers) {
-        /** Of a balancer that is on its own. */
+        /** Limits of a router that exchanges no reports with peers. */
         public Limits(
                 int maxAttempts,
                 boolean concurrentAttempts,
@@ -139,42 +139,42 @@
     }
 
     /**
-     * What one balancer tells the others of a server.
+     * Report of one router to its peers about a server.
      *
-     * @param inFlight its attempts that are out there
-     * @param open     it has a circuit open against it
+     * @param inFlight attempts of the reporting router that are in flight at the server
+     * @param open     whether the reporting router has a circuit open against the server
      */
     public record ServerReport(long server, int inFlight, boolean open) {}
 
     /**
-     * What all other balancers told of a server, added up.
+     * Sum of the reports of all other routers about a server.
      *
-     * @param inFlight their attempts that are out there
-     * @param open     how many of them have a circuit open against it
+     * @param inFlight their attempts in flight at the server
+     * @param open     number of routers that have a circuit open against the server
      */
     public record PeerTotals(long server, int inFlight, int open) {
-        /** A server of which nobody reports anything. */
+        /** Returns the totals of a server without reports. */
         public static PeerTotals none(long server) {
             return new PeerTotals(server, 0, 0);
         }
     }
 
     /**
-     * Start and warm-up of a server, and the drain rule.
+     * Warm-up of a server after its start, and the drain rule.
      *
-     * @param drainGrace     nothing may be sent later than this after word of a drain
-     * @param coldShare      part of its capacity at which a server starts, at least
-     * @param warmUp         time by which it has its full capacity
-     * @param overloadFactor sent this many times its present capacity, by all balancers together ...
-     * @param overloadSpan   ... for this long, a cold server falls over
+     * @param drainGrace     no request may be sent later than this after a drain has been announced
+     * @param coldShare      least fraction of its full capacity at which a server starts
+     * @param warmUp         time from the start until full capacity
+     * @param overloadFactor a cold server fails when all routers together send this multiple of its current capacity
+     * @param overloadSpan   duration of such a load after which the server fails
      */
     public record Protection(
             double drainGrace, double coldShare, double warmUp, double overloadFactor, double overloadSpan) {}
 
-    /** What costs: wasted work as a part of the work offered, and an origin fetch for each request. */
+    /** Costs: of wasted work as a fraction of the work offered, and of an origin fetch for each request. */
     public record Prices(double waste, double originFetch, double crossZone) {}
 
-    /** Names of the values in a load report, as far as the module knows them; -1 where a value is absent. */
+    /** Indices of the values in a load report that the module knows; -1 where a value is absent. */
     public record ReportLayout(int queue, int inFlight, int hitShare) {
         public static final ReportLayout NONE = new ReportLayout(-1, -1, -1);
     }
@@ -182,11 +182,11 @@
     /**
      * All settings of an instance.
      *
-     * @param balancers  number of balancers, this one included
-     * @param originKind the member kind of the origin where {@link Fetching#ASIDE}, otherwise -1
-     * @param tick       shortest time between two events that the host can deliver
-     * @param quotaWorth worth of a request beyond its tenant's share, as a part of the usual
-     * @param listOnRequest changes of the list come only after {@link Host#watchMembers}
+     * @param balancers     number of routers, including this one
+     * @param originKind    member kind of the origin with {@link Fetching#ASIDE}, otherwise -1
+     * @param tick          shortest interval between two events that the host can deliver
+     * @param quotaWorth    worth of a request beyond its tenant's share, as a fraction of the normal worth
+     * @param listOnRequest list changes are delivered only after {@link Host#watchMembers}
      */
     public record Settings(
             int balancers,
@@ -203,23 +203,23 @@
             Prices prices,
             ReportLayout report,
             boolean listOnRequest) {
-        /** Mean seconds between two reports of the module to other balancers. */
+        /** Returns the mean seconds between two reports to other routers. */
         public double reportPeriod() {
             return REPORT_PERIOD_IN_DEADLINES
                     * classes.stream().mapToDouble(RequestClass::deadline).min().orElseThrow();
         }
     }
 
-    /** A server in the list. {@code startedAt} 0 means long ago. */
+    /** A server in the list. A {@code startedAt} of 0 means that it started long ago. */
     public record Member(long id, int zone, int cell, int kind, MemberState state, double weight, double startedAt) {}
 
     /**
-     * A request as it arrives.
+     * A request as received from a client.
      *
-     * @param key         what it concerns; 0 for none
-     * @param budget      time left before the client gives up this try
-     * @param costHint    its work in core seconds, roughly; 0 where unknown
-     * @param clientRetry the client says that it asks again
+     * @param key         hash of the requested key; 0 for none
+     * @param budget      time left until the client gives up this try
+     * @param costHint    estimated work in core seconds; 0 where unknown
+     * @param clientRetry the client marked the request as a retry
      */
     public record Request(
             long id,
@@ -231,33 +231,33 @@
             boolean clientRetry,
             boolean write) {}
 
-    /** A ring that has taken over part of the keys from the module's own. Immutable. */
+    /** A ring that has taken over part of the keys from the module's own ring. Immutable. */
     public interface PromotedRing {
         boolean holds(long key);
 
         HashRing ring();
 
-        /** Which server a slot of that ring stands for. */
+        /** Returns the id of the server at a slot of that ring. */
         long serverAt(int slot);
     }
 
-    /** What happens to a balancer; implemented by {@link RoutingPolicy}. */
+    /** Events delivered to the module; implemented by {@link RoutingPolicy}. */
     public interface Events {
-        /** The list of servers: complete, or only what changed. A server missing in a complete one is gone. */
+        /** Delivers the server list, complete or only its changes. A server missing in a complete list is gone. */
         void onMembers(double now, boolean complete, List<Member> members);
 
-        /** A call for the list failed, or its subscription broke; the last list still stands. */
+        /** A request for the list failed, or its subscription broke; the last list remains valid. */
         void onMembersFailed(double now);
 
         void onRequest(double now, Request request);
 
-        /** The answer of a streamed class has begun: the attempt now belongs to the client. */
+        /** The answer to a request of a streamed class has begun: no other attempt can replace this one. */
         void onFirstByte(double now, long request, int attempt);
 
         /**
-         * An attempt ended; every send gets exactly one of these, even after the request's end.
+         * An attempt ended; called exactly once for each send, even after the request has ended.
          *
-         * @param finished the client has its answer or is gone; otherwise a final answer is still owed
+         * @param finished the client has its answer or is gone; otherwise a final answer is still required
          * @param report   load report in the order of the settings, or an empty array; reused by the host
          */
         void onOutcome(
@@ -271,35 +271,35 @@
                 Lookup lookup,
                 float[] report);
 
-        /** The client left. */
+        /** The client disconnected or cancelled the request. */
         void onClientGone(double now, long request);
 
-        /** A timer set by {@link Host#setTimer} came due. */
+        /** A timer set by {@link Host#setTimer} expired. */
         void onTimer(double now, long token);
 
-        /** A probe asked for by {@link Host#probe} ended. */
+        /** A probe requested by {@link Host#probe} ended. */
         default void onProbe(double now, long server, Outcome outcome, double elapsed, float[] report) {}
 
-        /** What all other balancers report of these servers may have changed, see {@link Host#peerTotals}. */
+        /** The peer totals of these servers may have changed, see {@link Host#peerTotals}. */
         default void onPeers(double now, Collection<Long> changed) {}
 
-        /** Another ring has part of the keys from now on; null for none. */
-        default void onPromoted(double now, PromotedRing map) {}
+        /** Another ring takes over part of the keys from now on; null for none. */
+        default void onPromoted(double now, PromotedRing promotedRing) {}
 
-        /** Whether a server is to be spared what is not needed. Changes nothing. */
+        /** Returns whether a server should get no optional load. Has no side effects. */
         default boolean avoidsOptionalLoad(double now, long server) {
             return false;
         }
     }
 
-    /** What the module asks of its host. */
+    /** Actions that the module requests from its host. */
     public interface Host {
-        /** Begins an attempt; attempts of a request count from 0 in the order of their sends. */
+        /** Starts an attempt; attempts of a request are numbered from 0 in the order of their sends. */
         void send(long request, long server, double timeout);
 
         /**
-         * The same where nothing of it may be sent later than so many seconds from now: it then ends as never sent. A host
-         * on which no attempt waits before it is sent need not look at that.
+         * Starts an attempt that must not be sent later than {@code startWithin} seconds from now; if it is not sent by
+         * then, it ends as {@link Outcome#NOT_SENT}. A host that does not queue attempts may ignore the limit.
          */
         default void send(long request, long server, double timeout, double startWithin) {
             send(request, server, timeout);
@@ -307,36 +307,36 @@
 
         void cancel(long request, int attempt);
 
-        /** Final answer that tells the client that asking again does no harm. */
+        /** Sends a final answer which tells the client that repeating the request is safe. */
         void refuse(long request, double retryAfter);
 
-        /** Final answer that promises nothing. */
+        /** Sends a final answer which does not tell whether the request was executed. */
         void fail(long request);
 
         void setTimer(double delay, long token);
 
         void probe(long server);
 
-        /** Gives back the idle connections to a server, for others to use. */
+        /** Closes the idle connections to a server, so that other routers can connect. */
         void closeIdle(long server);
 
-        /** Asks for the changes of the list that were missed and all to come. */
+        /** Requests the list changes missed so far and all later ones. */
         void watchMembers();
 
-        /** Tells all other balancers. What matters most comes first, for a message is short; it may be lost. */
-        default void reportToPeers(List<ServerReport> news) {}
+        /** Sends reports to all other routers, most important first: messages are short and may be lost. */
+        default void reportToPeers(List<ServerReport> reports) {}
 
-        /** What all other balancers report of a server, added up; {@link Events#onPeers} tells when it changes. */
+        /** Returns the sum of all peers' reports about a server; {@link Events#onPeers} announces changes. */
         default PeerTotals peerTotals(long server) {
             return PeerTotals.none(server);
         }
 
-        /** How many attempts each one in these sums stands for on the mean; sums vary as much more. */
+        /** Returns how many attempts each one in these sums represents on average; scales their variance. */
         default double peerWeight() {
             return 1;
         }
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         void logMessage(String text);
     }
 }
--- a/router/src/main/java/stagepier/Bulkhead.java
+++ b/router/src/main/java/stagepier/Bulkhead.java
@@ -1,33 +1,35 @@
 package stagepier;
 
-/** Tickets: sends in flight, against a cap from the balancer's own usual concurrency. */
+/** Limits the sends in flight: each takes a ticket, and their number depends on the mean concurrency. */
 final class Bulkhead {
-    /** Tickets, and what is busy: at the least, and in deviations above the usual. Two tickets are few. */
-    private static final int FLOOR = 12;
+    /** Cap on tickets: a minimum (2 refused 40% of requests after a start), and deviations above the mean. */
+    private static final int MIN_TICKETS = 12;
+
+    private static final double CAP_DEVIATIONS = 5;
+    /** From how many sends in flight a server counts as busy: a minimum, and deviations above the mean. */
+    private static final double BUSY_MIN = 3;
 
-    private static final double DEVIATIONS = 5;
-    private static final double BUSY_FLOOR = 3;
     private static final double BUSY_DEVIATIONS = 1.5;
     int inFlight;
-    double usual;
-    private double at;
+    double mean;
+    private double updatedAt;
 
-    static int cap(double usual) {
-        return Math.max(FLOOR, (int) Math.ceil(usual + DEVIATIONS * Math.sqrt(usual)));
+    static int cap(double mean) {
+        return Math.max(MIN_TICKETS, (int) Math.ceil(mean + CAP_DEVIATIONS * Math.sqrt(mean)));
     }
 
-    boolean full(double usual) {
-        return inFlight >= cap(usual);
+    boolean isFull(double mean) {
+        return inFlight >= cap(mean);
     }
 
-    /** Busy by chance: the next server may have no wait. Where each seen stands for many, chance is wider. */
-    static double busyFrom(double usual, double weight) {
-        return Math.max(BUSY_FLOOR, usual + BUSY_DEVIATIONS * Math.sqrt(usual * weight));
+    /** Returns a level above random variation, which is wider where each send counted stands for several. */
+    static double busyThreshold(double mean, double sampleWeight) {
+        return Math.max(BUSY_MIN, mean + BUSY_DEVIATIONS * Math.sqrt(mean * sampleWeight));
     }
 
-    void add(double now, int change, double fades) {
-        usual += (inFlight - usual) * -Math.expm1((at - now) / fades);
-        at = now;
-        inFlight += change;
+    void add(double now, int delta, double decayTime) {
+        mean += (inFlight - mean) * -Math.expm1((updatedAt - now) / decayTime);
+        updatedAt = now;
+        inFlight += delta;
     }
 }
--- a/router/src/main/java/stagepier/CircuitBreaker.java
+++ b/router/src/main/java/stagepier/CircuitBreaker.java
@@ -2,40 +2,40 @@
 
 import stagepier.Api.Outcome;
 
-/** Evidence is the log odds that a server is broken rather than like the rest; it fades, and opens. */
+/** Opens when the decaying log odds that a server is broken, rather than like the rest, reach a threshold. */
 final class CircuitBreaker {
-    /** Failure rate of a server that deserves an open circuit, of one out of reach, of all at the most. */
+    /** Assumed failure rates: of a broken server, of an unreachable one, and the cap on the fleet's rate. */
     private static final double BROKEN_RATE = 0.9;
 
     private static final double UNREACHABLE_RATE = 0.95;
     private static final double COMMON_RATE_CAP = 0.6;
-    /** Part of a failure that an error or a 'full' is: the server still answers. */
-    private static final double MILD_FAILURE = 0.5;
-    /** Doublings of the dead time while openings follow on each other: trials of a long trouble thin out. */
-    private static final int DOUBLINGS = 2;
+    /** Weight of an error or a 'full' answer relative to a failure: the server still answers. */
+    private static final double MILD_FAILURE_WEIGHT = 0.5;
+    /** Consecutive openings double the open duration up to this often: trials get rarer in a long outage. */
+    private static final int MAX_DOUBLINGS = 2;
 
     private double evidence;
     private double evidenceAt;
     boolean isOpen;
     private double openUntil;
     private double closedAt = Double.NEGATIVE_INFINITY;
-    private int openings;
+    private int consecutiveOpenings;
     private long trialRequest;
-    /** -1 while no trial is out. */
+    /** -1 while no trial is in flight. */
     private int trialAttempt = -1;
 
-    /** What one outcome says; a server that only fails is opened also when all others fail. */
-    static double evidence(Outcome outcome, double elapsed, double late, double rateOfAll) {
-        double commonRate = Math.min(COMMON_RATE_CAP, rateOfAll);
+    /** Returns an outcome's evidence. The rate is capped: a server that only fails opens even if all fail. */
+    static double evidence(Outcome outcome, double elapsed, double lateAfter, double fleetFailureRate) {
+        double commonRate = Math.min(COMMON_RATE_CAP, fleetFailureRate);
         double failure = Math.log(BROKEN_RATE / commonRate);
-        double mild = MILD_FAILURE * failure;
+        double mild = MILD_FAILURE_WEIGHT * failure;
         return switch (outcome) {
-            case OK, MISS -> elapsed > late ? mild : Math.log((1 - BROKEN_RATE) / (1 - commonRate));
-            // A connection that fails is no matter of the load that all servers share.
-            case CONNECT_FAILED -> Math.log(UNREACHABLE_RATE / FailureRate.USUAL);
-            // A time-out says less the less time the server was given.
-            case TIMEOUT -> failure * Math.min(1, elapsed / Math.max(1e-9, late));
-            // A connection may end for reasons of its own; of a process that died the next connect tells.
+            case OK, MISS -> elapsed > lateAfter ? mild : Math.log((1 - BROKEN_RATE) / (1 - commonRate));
+            // A failed connect does not result from the load that all servers share.
+            case CONNECT_FAILED -> Math.log(UNREACHABLE_RATE / FailureRate.PRIOR_RATE);
+            // A timeout weighs less the less time the server was given.
+            case TIMEOUT -> failure * Math.min(1, elapsed / Math.max(1e-9, lateAfter));
+            // One connection may break while its server is well; if the process died, the next connect fails.
             case RESET, ERROR, FULL -> mild;
             case CANCELLED, NOT_SENT -> 0;
         };
@@ -52,8 +52,8 @@
         }
     }
 
-    /** Returns whether the circuit has to open, anew or again. */
-    boolean record(double now, long request, int attempt, double weight, double openAt, double fades) {
+    /** Returns whether the circuit has to open, either for the first time or again after a failed trial. */
+    boolean record(double now, long request, int attempt, double weight, double threshold, double decayTime) {
         if (isOpen) {
             if (request != trialRequest || attempt != trialAttempt) {
                 return false;
@@ -66,17 +66,17 @@
             }
             return weight > 0;
         }
-        evidence = Math.max(0, evidence * Math.exp((evidenceAt - now) / fades) + weight);
+        evidence = Math.max(0, evidence * Math.exp((evidenceAt - now) / decayTime) + weight);
         evidenceAt = now;
-        return evidence >= openAt;
+        return evidence >= threshold;
     }
 
-    void open(double now, double deadTime, double jitter) {
-        if (!isOpen && now - closedAt > deadTime * (1 << DOUBLINGS)) {
-            openings = 0;
+    void open(double now, double openDuration, double jitter) {
+        if (!isOpen && now - closedAt > openDuration * (1 << MAX_DOUBLINGS)) {
+            consecutiveOpenings = 0;
         }
-        openUntil = now + deadTime * (1 << Math.min(openings, DOUBLINGS)) * jitter;
-        openings++;
+        openUntil = now + openDuration * (1 << Math.min(consecutiveOpenings, MAX_DOUBLINGS)) * jitter;
+        consecutiveOpenings++;
         isOpen = true;
     }
 }
--- a/router/src/main/java/stagepier/FadingCount.java
+++ b/router/src/main/java/stagepier/FadingCount.java
@@ -1,22 +1,22 @@
 package stagepier;
 
-/** A count of events that fades. All calls of one count give it the same time constant. */
+/** Exponentially decaying event count. All calls on one instance pass the same time constant, in seconds. */
 final class FadingCount {
     private double count;
-    private double at;
+    private double updatedAt;
 
-    void add(double now, double n, double fades) {
-        count = at(now, fades) + n;
-        at = now;
+    void add(double now, double amount, double decayTime) {
+        count = value(now, decayTime) + amount;
+        updatedAt = now;
     }
 
-    double at(double now, double fades) {
-        return count == 0 ? 0 : count * Math.exp((at - now) / fades);
+    double value(double now, double decayTime) {
+        return count == 0 ? 0 : count * Math.exp((updatedAt - now) / decayTime);
     }
 
-    /** Events a second, also while the count has run for less than its memory. */
-    double rate(double now, double since, double fades) {
-        double covered = -fades * Math.expm1((since - now) / fades);
-        return covered > 0 ? at(now, fades) / covered : 0;
+    /** Returns events per second, corrected while the count has run for less than its time constant. */
+    double rate(double now, double startedAt, double decayTime) {
+        double covered = -decayTime * Math.expm1((startedAt - now) / decayTime);
+        return covered > 0 ? value(now, decayTime) / covered : 0;
     }
 }
--- a/router/src/main/java/stagepier/FailureRate.java
+++ b/router/src/main/java/stagepier/FailureRate.java
@@ -1,30 +1,30 @@
 package stagepier;
 
-/** What ended and what failed of it, as fading counts; few ends move the rate little from the usual one. */
+/** Decaying failure rate; with few completed attempts it stays near a prior rate. */
 final class FailureRate {
-    static final double USUAL = 0.01;
-    /** Ends that the belief in the usual rate counts for. */
-    static final int BELIEF = 20;
+    static final double PRIOR_RATE = 0.01;
+    /** Number of completed attempts that the prior rate counts for. */
+    static final int PRIOR_WEIGHT = 20;
 
-    final FadingCount ends = new FadingCount();
+    final FadingCount total = new FadingCount();
     final FadingCount failures = new FadingCount();
 
-    void add(double now, boolean failed, double fades) {
-        ends.add(now, 1, fades);
-        failures.add(now, failed ? 1 : 0, fades);
+    void add(double now, boolean failed, double decayTime) {
+        total.add(now, 1, decayTime);
+        failures.add(now, failed ? 1 : 0, decayTime);
     }
 
-    double at(double now, double fades) {
-        return rate(failures.at(now, fades), ends.at(now, fades));
+    double estimate(double now, double decayTime) {
+        return rate(failures.value(now, decayTime), total.value(now, decayTime));
     }
 
-    /** The rate of all that is counted here but not in a part of it. */
-    double without(FailureRate part, double now, double fades) {
-        double failed = failures.at(now, fades) - part.failures.at(now, fades);
-        return rate(failed, ends.at(now, fades) - part.ends.at(now, fades));
+    /** Returns the rate over what is counted here but not in {@code part}, which is a subset. */
+    double excluding(FailureRate part, double now, double decayTime) {
+        double failed = failures.value(now, decayTime) - part.failures.value(now, decayTime);
+        return rate(failed, total.value(now, decayTime) - part.total.value(now, decayTime));
     }
 
-    private static double rate(double failures, double ends) {
-        return (failures + BELIEF * USUAL) / (ends + BELIEF);
+    private static double rate(double failed, double completed) {
+        return (failed + PRIOR_WEIGHT * PRIOR_RATE) / (completed + PRIOR_WEIGHT);
     }
 }
--- a/router/src/main/java/stagepier/FetchGate.java
+++ b/router/src/main/java/stagepier/FetchGate.java
@@ -1,29 +1,29 @@
 package stagepier;
 
-/** Part of the fetches that go to the origin: falls with each that fails or is late, and recovers. */
+/** Fraction of origin fetches admitted: falls with each one that fails or is late, rises with successes. */
 final class FetchGate {
-    private static final double RECOVERS = 0.04;
-    private static final double YIELDS = 0.3;
-    private static final double LEAST = 0.02;
-    /** Part from which it counts as open: below it, no second copies are made, for each is likely a fetch. */
-    private static final double OPEN_FROM = 0.9;
+    private static final double RECOVERY_STEP = 0.04;
+    private static final double DECREASE = 0.3;
+    private static final double MIN_ADMITTED = 0.02;
+    /** Fraction from which the gate counts as open; below, no copies are made, as each is likely a fetch. */
+    private static final double OPEN_THRESHOLD = 0.9;
 
     double admitted = 1;
-    private double at;
+    private double updatedAt;
 
     boolean isOpen() {
-        return admitted >= OPEN_FROM;
+        return admitted >= OPEN_THRESHOLD;
     }
 
-    /** Opens with time, too: nearly shut, it sees too few fetches to learn that the trouble is over. */
-    void pass(double now, double opensIn) {
-        admitted = Math.min(1, admitted + (now - at) / opensIn);
-        at = now;
+    /** Also opens with time: when nearly shut, too few fetches pass to show that the origin has recovered. */
+    void recover(double now, double recoveryTime) {
+        admitted = Math.min(1, admitted + (now - updatedAt) / recoveryTime);
+        updatedAt = now;
     }
 
-    /** {@code fault} tells how far a failure is the origin's rather than the server's. */
-    void record(boolean inTime, double fault) {
-        double lowered = Math.max(LEAST, admitted * (1 - YIELDS * fault));
-        admitted = inTime ? Math.min(1, admitted + RECOVERS) : lowered;
+    /** {@code originShare} is the part of a failure attributed to the origin rather than to the server. */
+    void record(boolean inTime, double originShare) {
+        double lowered = Math.max(MIN_ADMITTED, admitted * (1 - DECREASE * originShare));
+        admitted = inTime ? Math.min(1, admitted + RECOVERY_STEP) : lowered;
     }
 }
--- a/router/src/main/java/stagepier/HashRing.java
+++ b/router/src/main/java/stagepier/HashRing.java
@@ -7,20 +7,20 @@
 import java.util.stream.LongStream;
 
 /**
- * Consistent hash ring of servers, each known by a slot of 0 to 65,535. In one sorted array: 48 bits of a
- * point are its place, 16 its slot. The same members and weights make the same ring, added in any order.
+ * Consistent hash ring of servers, each identified by a slot from 0 to 65,535. Points form one sorted array:
+ * 48 bits position, 16 bits slot. Equal members and weights give equal rings, whatever the insertion order.
  */
 public final class HashRing {
-    /** Virtual nodes of a server of weight 1: arcs then differ by about a tenth. */
+    /** Virtual nodes of a server of weight 1: shares of the ring then differ by about a tenth. */
     private static final int VIRTUAL_NODES = 100;
 
     private static final long SLOT_MASK = 0xffff;
     private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
     private long[] points = {};
-    /** Servers that left, and points of those that came, since the ring was last read. */
-    private final BitSet gone = new BitSet();
+    /** Slots removed and points added since the last read; they are applied at the next read. */
+    private final BitSet removed = new BitSet();
 
-    private final Map<Integer, long[]> came = new HashMap<>();
+    private final Map<Integer, long[]> added = new HashMap<>();
 
     public static int virtualNodes(double weight) {
         return (int) Math.max(1, Math.rint(VIRTUAL_NODES * Math.min(weight, 8)));
@@ -28,57 +28,59 @@
 
     public void add(int slot, long server, int virtualNodes) {
         long seed = mix(server + GOLDEN_GAMMA);
-        LongStream places = LongStream.range(0, virtualNodes).map(i -> mix(seed + i * GOLDEN_GAMMA));
-        came.put(slot, places.map(place -> place & ~SLOT_MASK | slot).sorted().toArray());
+        LongStream positions = LongStream.range(0, virtualNodes).map(i -> mix(seed + i * GOLDEN_GAMMA));
+        added.put(
+                slot,
+                positions.map(position -> position & ~SLOT_MASK | slot).sorted().toArray());
     }
 
     public void remove(int slot) {
-        gone.set(slot);
-        came.remove(slot);
+        removed.set(slot);
+        added.remove(slot);
     }
 
-    /** Guards against a standstill: made anew for each of a list's many changes, it held a router up. */
-    private void settle() {
-        if (!gone.isEmpty() || !came.isEmpty()) {
-            LongStream stayed = Arrays.stream(points).filter(x -> !gone.get((int) (x & SLOT_MASK)));
-            LongStream added = came.values().stream().flatMapToLong(Arrays::stream);
-            points = LongStream.concat(stayed, added).toArray();
-            // Sorted runs are merged, which is less work than to sort the whole of a large ring.
+    /** Applies all changes at once: rebuilding the ring per change of a long list blocked the event loop. */
+    private void applyChanges() {
+        if (!removed.isEmpty() || !added.isEmpty()) {
+            LongStream kept = Arrays.stream(points).filter(x -> !removed.get((int) (x & SLOT_MASK)));
+            LongStream inserted = added.values().stream().flatMapToLong(Arrays::stream);
+            points = LongStream.concat(kept, inserted).toArray();
+            // Arrays.sort merges sorted runs, which is cheaper than sorting a large ring from scratch.
             Arrays.sort(points);
-            gone.clear();
-            came.clear();
+            removed.clear();
+            added.clear();
         }
     }
 
-    /** Slot of the server that a hash belongs to, or -1 on an empty ring. */
+    /** Returns the slot of the server that owns a hash, or -1 on an empty ring. */
     public int owner(long hash) {
         return from(hash).next();
     }
 
-    /** All servers in ring order, the owner of the hash first. */
+    /** Returns a walk over all servers in ring order, starting with the owner of the hash. */
     public Walk from(long hash) {
-        settle();
+        applyChanges();
         return new Walk(hash);
     }
 
-    /** One way round a ring as it was when the walk began. */
+    /** One pass around a snapshot of the ring taken when the walk began. */
     public final class Walk {
         private final long[] ring = points;
-        private final BitSet met = new BitSet();
-        private int at;
-        private int left = ring.length;
+        private final BitSet visited = new BitSet();
+        private int index;
+        private int remaining = ring.length;
 
         private Walk(long hash) {
             int i = Arrays.binarySearch(ring, hash & ~SLOT_MASK);
-            at = i < 0 ? -i - 1 : i;
+            index = i < 0 ? -i - 1 : i;
         }
 
-        /** Slot of the next server not met yet, or -1 after the last. */
+        /** Returns the slot of the next server not yet visited, or -1 after the last. */
         public int next() {
-            while (left-- > 0) {
-                int slot = (int) (ring[at++ % ring.length] & SLOT_MASK);
-                if (!met.get(slot)) {
-                    met.set(slot);
+            while (remaining-- > 0) {
+                int slot = (int) (ring[index++ % ring.length] & SLOT_MASK);
+                if (!visited.get(slot)) {
+                    visited.set(slot);
                     return slot;
                 }
             }
@@ -86,14 +88,14 @@
         }
     }
 
-    /** Finalizer of SplitMix64: every input bit reaches every output bit. */
+    /** Finalizer of SplitMix64: every input bit affects every output bit. */
     public static long mix(long z) {
         long a = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         long b = (a ^ a >>> 27) * 0x94d049bb133111ebL;
         return b ^ b >>> 31;
     }
 
-    /** The finalizer's result as a fraction of 1. */
+    /** Returns the finalizer's result scaled to [0, 1). */
     static double fraction(long z) {
         return (mix(z) >>> 11) * 0x1.0p-53;
     }
--- a/router/src/main/java/stagepier/KeyTable.java
+++ b/router/src/main/java/stagepier/KeyTable.java
@@ -1,43 +1,43 @@
 package stagepier;
 
-/** Fading counts of keys, and who served each last. A key takes a place whose count has faded. */
+/** Decaying request counts of keys and the server that last served each. A new key replaces a decayed one. */
 final class KeyTable {
-    /** Keys remembered: what a busy balancer is asked for while a copy is kept. */
-    private static final int PLACES = 4096;
+    /** Number of keys, a power of two: about the distinct keys of a busy router while a copy is kept. */
+    private static final int CAPACITY = 4096;
 
-    private final long[] keys = new long[PLACES];
-    private final double[] counts = new double[PLACES];
-    private final double[] at = new double[PLACES];
-    private final Server[] holders = new Server[PLACES];
-    private final double[] heldAt = new double[PLACES];
+    private final long[] keys = new long[CAPACITY];
+    private final double[] counts = new double[CAPACITY];
+    private final double[] countedAt = new double[CAPACITY];
+    private final Server[] servers = new Server[CAPACITY];
+    private final double[] servedAt = new double[CAPACITY];
 
-    private static int place(long key) {
-        return (int) HashRing.mix(key) & PLACES - 1;
+    private static int index(long key) {
+        return (int) HashRing.mix(key) & CAPACITY - 1;
     }
 
-    double count(double now, long key, double fades) {
-        int i = place(key);
-        double left = counts[i] == 0 ? 0 : counts[i] * Math.exp((at[i] - now) / fades);
-        at[i] = now;
-        if (keys[i] != key && left < 1) {
+    double count(double now, long key, double decayTime) {
+        int i = index(key);
+        double remaining = counts[i] == 0 ? 0 : counts[i] * Math.exp((countedAt[i] - now) / decayTime);
+        countedAt[i] = now;
+        if (keys[i] != key && remaining < 1) {
             keys[i] = key;
-            left = 0;
-            holders[i] = null;
+            remaining = 0;
+            servers[i] = null;
         }
-        counts[i] = keys[i] == key ? left + 1 : left - 1;
+        counts[i] = keys[i] == key ? remaining + 1 : remaining - 1;
         return keys[i] == key ? counts[i] : 1;
     }
 
-    void held(double now, long key, Server s) {
-        int i = place(key);
+    void recordServed(double now, long key, Server s) {
+        int i = index(key);
         if (keys[i] == key) {
-            holders[i] = s;
-            heldAt[i] = now;
+            servers[i] = s;
+            servedAt[i] = now;
         }
     }
 
-    boolean holds(double now, long key, Server s, double memory) {
-        int i = place(key);
-        return keys[i] == key && holders[i] == s && now - heldAt[i] < memory;
+    boolean wasServedBy(double now, long key, Server s, double retention) {
+        int i = index(key);
+        return keys[i] == key && servers[i] == s && now - servedAt[i] < retention;
     }
 }
--- a/router/src/main/java/stagepier/Latency.java
+++ b/router/src/main/java/stagepier/Latency.java
@@ -2,30 +2,32 @@
 
 /** Running mean and mean deviation of answer times. */
 final class Latency {
-    /** Weight of a new answer; answers that tell the least time; deviations after which it is late. */
+    /** Minimum weight of a new answer. */
     static final double GAIN = 1.0 / 64;
-
-    private static final int TRUSTED = 8;
+    /** First answers from which the unloaded time is taken. */
+    private static final int UNLOADED_SAMPLES = 8;
+    /** Mean deviations above the mean from which an answer is late. */
     private static final double LATE_DEVIATIONS = 4;
+
     double mean;
     private double deviation;
-    /** Mean of the logarithms: a few answers that waited for the origin hardly move it. */
-    double typical;
-    /** The typical time when it was least: about that of an answer that waits for nothing. */
-    double least;
+    /** Mean of the logarithms: a few answers that waited for the origin hardly change it. */
+    double meanLog;
+    /** Lowest geometric mean so far: about the time of an answer that does not queue. */
+    double unloaded;
 
-    int seen;
+    int samples;
 
     void add(double elapsed) {
-        double gain = Math.max(GAIN, 1.0 / ++seen);
+        double gain = Math.max(GAIN, 1.0 / ++samples);
         deviation += gain * (Math.abs(elapsed - mean) - deviation);
         mean += gain * (elapsed - mean);
-        typical += gain * (log(elapsed) - typical);
-        // Known after few answers: a fleet that jams at once leaves no time for more.
-        least = seen <= TRUSTED ? Math.exp(typical) : Math.min(Math.exp(typical), least);
+        meanLog += gain * (log(elapsed) - meanLog);
+        // Known after few answers, since a fleet may be overloaded soon after the start.
+        unloaded = samples <= UNLOADED_SAMPLES ? Math.exp(meanLog) : Math.min(Math.exp(meanLog), unloaded);
     }
 
-    double late() {
+    double lateAfter() {
         return mean + LATE_DEVIATIONS * deviation;
     }
 
--- a/router/src/main/java/stagepier/LoadShedder.java
+++ b/router/src/main/java/stagepier/LoadShedder.java
@@ -1,29 +1,29 @@
 package stagepier;
 
-/** Part of its keys that a crowded server keeps: back slowly, or all leave and return together. */
+/** Fraction of its keys that an overloaded server keeps; restored slowly, or load would oscillate. */
 final class LoadShedder {
-    /** Part of the aim from where waiting is a crowd; least part kept, for some must tell how it fares. */
-    static final double FROM = 0.14;
+    /** Wait, as a fraction of the target, above which keys are shed; least fraction kept, to see recovery. */
+    static final double MAX_WAIT = 0.14;
 
-    static final double LEAST = 0.03;
-    /** Shortest deadlines for which one that keeps the least rests, and in which all keys come back then. */
-    private static final double RESTS = 5;
+    static final double MIN_ADMITTED = 0.03;
+    /** Rest at the least fraction, and time of the return of all keys after it, in shortest deadlines. */
+    private static final double REST = 5;
 
-    private static final double RETURNS = 4;
-    private double kept = 1;
-    private double at = Double.NEGATIVE_INFINITY;
+    private static final double RECOVERY = 4;
+    private double admittedAtCut = 1;
+    private double cutAt = Double.NEGATIVE_INFINITY;
 
     double admitted(double now, double deadline) {
-        double cut = (1 - kept) * (1 - kept);
-        double rested = (now - at) / deadline - RESTS * cut * cut;
-        return Math.min(1, kept + Math.max(0, rested) / RETURNS);
+        double shed = (1 - admittedAtCut) * (1 - admittedAtCut);
+        double recovering = (now - cutAt) / deadline - REST * shed * shed;
+        return Math.min(1, admittedAtCut + Math.max(0, recovering) / RECOVERY);
     }
 
-    /** {@code wait} in parts of the aim. What was cut last must have had time to show. */
+    /** {@code wait} is a fraction of the target. The previous cut must have had time to take effect. */
     void observe(double now, double wait, double deadline) {
-        if (wait > FROM && now - at >= deadline) {
-            kept = Math.max(LEAST, admitted(now, deadline) * FROM / wait);
-            at = now;
+        if (wait > MAX_WAIT && now - cutAt >= deadline) {
+            admittedAtCut = Math.max(MIN_ADMITTED, admitted(now, deadline) * MAX_WAIT / wait);
+            cutAt = now;
         }
     }
 }
--- a/router/src/main/java/stagepier/Pending.java
+++ b/router/src/main/java/stagepier/Pending.java
@@ -3,87 +3,87 @@
 import java.util.Arrays;
 import stagepier.Api.*;
 
-/** A request that still needs its final answer, and the rules of its repeats. */
+/** A request without a final answer yet, and the rules for repeating it. */
 final class Pending {
-    /** Attempts at the most, whatever the settings say: each is a bit. */
-    private static final int MOST_ATTEMPTS = 16;
+    /** Upper limit on attempts whatever the settings say: each takes one bit of a mask. */
+    private static final int MAX_ATTEMPTS = 16;
 
     final Api.Request request;
     final RequestClass rules;
-    final long point;
+    final long hash;
     final double deadlineAt;
-    final double aimAt;
-    final Server[] on;
+    final double targetAt;
+    final Server[] servers;
     final double[] sentAt;
     int attempts;
-    /** One bit for each attempt that is out, and for each without proof that it never ran. */
-    int out;
+    /** Bit masks over attempts: those in flight, and those without proof that they never ran. */
+    int inFlight;
 
     int mayHaveRun;
-    boolean started;
+    boolean streaming;
     boolean missed;
     boolean expectsHit;
     boolean overShare;
-    /** It was fetched, and its aim has passed without an answer. */
-    boolean late;
-    /** Fading count of requests for its key. */
-    double heat;
+    /** A likely fetch that was still unanswered when its target time passed. */
+    boolean fetchLate;
+    /** Decaying count of requests for its key. */
+    double keyCount;
 
-    Pending(Api.Request request, RequestClass rules, double now, long point, int maxAttempts) {
+    Pending(Api.Request request, RequestClass rules, double now, long hash, int maxAttempts) {
         this.request = request;
         this.rules = rules;
-        this.point = point;
+        this.hash = hash;
         deadlineAt = now + request.budget();
-        aimAt = now + rules.target();
-        on = new Server[Math.max(1, Math.min(MOST_ATTEMPTS, maxAttempts))];
-        sentAt = new double[on.length];
+        targetAt = now + rules.target();
+        servers = new Server[Math.max(1, Math.min(MAX_ATTEMPTS, maxAttempts))];
+        sentAt = new double[servers.length];
     }
 
     void onSend(double now, Server s) {
-        on[attempts] = s;
+        servers[attempts] = s;
         sentAt[attempts] = now;
-        out |= 1 << attempts;
+        inFlight |= 1 << attempts;
         mayHaveRun |= 1 << attempts++;
     }
 
     void onOutcome(int attempt, Outcome outcome) {
-        out &= ~(1 << attempt);
+        inFlight &= ~(1 << attempt);
         missed |= outcome == Outcome.MISS;
         mayHaveRun &= outcome.neverRan() ? ~(1 << attempt) : ~0;
     }
 
-    boolean tried(Server s) {
-        return Arrays.asList(on).contains(s);
+    boolean hasTried(Server s) {
+        return Arrays.asList(servers).contains(s);
     }
 
-    private boolean isHarmless() {
+    private boolean isSafeToRepeat() {
         return mayHaveRun == 0 || rules.repeat() == Repeat.SAFE;
     }
 
-    /** The one place that decides whether a further send does no harm, whatever became of earlier ones. */
+    /** The single check whether a further send is safe, whatever the result of earlier attempts. */
     boolean mayRepeat(double now, double tick, Server s) {
-        return isHarmless() || dropsRepeats(s) && now + tick < dropsUntil();
+        return isSafeToRepeat() || deduplicates(s) && now + tick < dedupEndsAt();
     }
 
-    /** Seconds from now within which a further attempt has to begin, however long the host makes it wait. */
+    /** Returns the seconds within which a further attempt has to start, even if the host queues it. */
     double startWithin(double now) {
-        boolean bounded = !isHarmless() && rules.repeat() == Repeat.KEYED;
-        return bounded ? dropsUntil() - now : Double.POSITIVE_INFINITY;
+        boolean bounded = !isSafeToRepeat() && rules.repeat() == Repeat.KEYED;
+        return bounded ? dedupEndsAt() - now : Double.POSITIVE_INFINITY;
     }
 
-    private double dropsUntil() {
+    private double dedupEndsAt() {
         return sentAt[Integer.numberOfTrailingZeros(mayHaveRun)] + rules.dedupWindow();
     }
 
-    private boolean dropsRepeats(Server s) {
-        Server first = on[Integer.numberOfTrailingZeros(mayHaveRun)];
+    private boolean deduplicates(Server s) {
+        Server first = servers[Integer.numberOfTrailingZeros(mayHaveRun)];
         Scope scope = rules.dedupScope();
-        boolean near = scope == Scope.ZONE ? s.zone == first.zone : s.cell == first.cell;
-        return rules.repeat() == Repeat.KEYED && (scope == Scope.ALL || near);
+        boolean sameGroup = scope == Scope.ZONE ? s.zone == first.zone : s.cell == first.cell;
+        return rules.repeat() == Repeat.KEYED && (scope == Scope.ALL || sameGroup);
     }
 
-    /** The one place that decides whether the client may be told that asking again does no harm. */
+    /** The single check whether the client may be told that repeating the request is safe. */
     boolean mayRefuse() {
-        return isHarmless() || rules.repeat() == Repeat.KEYED && rules.dedupScope() == Scope.ALL;
+        return isSafeToRepeat() || rules.repeat() == Repeat.KEYED && rules.dedupScope() == Scope.ALL;
     }
 }
--- a/router/src/main/java/stagepier/Server.java
+++ b/router/src/main/java/stagepier/Server.java
@@ -1,6 +1,6 @@
 package stagepier;
 
-/** A server as this balancer knows it. */
+/** State that this router keeps for one server. */
 final class Server {
     final long id;
     final int slot;
@@ -14,21 +14,23 @@
     int cell;
     int kind;
     double size;
-    /** Its part of the ring; 0 while it has none. */
+    /** Weight on the ring; 0 while it is not on the ring. */
     double weight;
 
     boolean ready;
     boolean listed;
-    /** What other balancers told: their attempts out there, and how many of them have a circuit open. */
-    int elsewhere;
+    /** Reported by peers: their attempts in flight, and how many of them have a circuit open. */
+    int peerInFlight;
 
-    int openElsewhere;
-    /** When it could not be reached, until it answers. */
-    double unreachedAt = Double.NEGATIVE_INFINITY;
+    int openAtPeers;
+    /** Time of the last failed connect; negative infinity after any other outcome. */
+    double failedAt = Double.NEGATIVE_INFINITY;
 
+    /** Moving average of answer times in seconds, and the time of its last update. */
     double lag;
+
     double lagAt = Double.NEGATIVE_INFINITY;
-    boolean saidFull;
+    boolean wasFull;
 
     Server(long id, int slot, Api.Protection protection) {
         this.id = id;
--- a/router/src/main/java/stagepier/TenantShares.java
+++ b/router/src/main/java/stagepier/TenantShares.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Tells which requests are beyond their tenant's share. */
+/** Decides which requests exceed their tenant's share. */
 final class TenantShares {
     private final List<Api.Tenant> tenants;
-    private final double sumOfShares;
-    private final List<FadingCount> calls;
-    private final FadingCount allCalls = new FadingCount();
+    private final double totalShare;
+    private final List<FadingCount> requests;
+    private final FadingCount allRequests = new FadingCount();
 
     TenantShares(List<Api.Tenant> tenants) {
         this.tenants = tenants;
-        sumOfShares = tenants.stream().mapToDouble(Api.Tenant::share).sum();
-        calls = tenants.stream().map(tenant -> new FadingCount()).toList();
+        totalShare = tenants.stream().mapToDouble(Api.Tenant::share).sum();
+        requests = tenants.stream().map(tenant -> new FadingCount()).toList();
     }
 
-    /** By chance, as often as the tenant's part of requests exceeds its share. */
-    boolean exceeds(double now, int tenant, double fades, SplittableRandom random) {
-        if (tenant < 0 || tenant >= calls.size() || sumOfShares <= 0) {
+    /** Returns true at random, as often as the tenant's part of all requests exceeds its share. */
+    boolean exceeds(double now, int tenant, double decayTime, SplittableRandom random) {
+        if (tenant < 0 || tenant >= requests.size() || totalShare <= 0) {
             return false;
         }
-        calls.get(tenant).add(now, 1, fades);
-        allCalls.add(now, 1, fades);
-        double due = allCalls.at(now, fades) * tenants.get(tenant).share() / sumOfShares;
-        return random.nextDouble() * calls.get(tenant).at(now, fades) > due + Math.sqrt(due);
+        requests.get(tenant).add(now, 1, decayTime);
+        allRequests.add(now, 1, decayTime);
+        double quota = allRequests.value(now, decayTime) * tenants.get(tenant).share() / totalShare;
+        return random.nextDouble() * requests.get(tenant).value(now, decayTime) > quota + Math.sqrt(quota);
     }
 }
--- a/router/src/main/java/stagepier/WarmUp.java
+++ b/router/src/main/java/stagepier/WarmUp.java
@@ -1,43 +1,43 @@
 package stagepier;
 
-/** Warm-up of a just-started server, and the budget of sends that keeps bursts off it. */
+/** Slow start of a server: its rising share of capacity, and a token budget that limits bursts of sends. */
 final class WarmUp {
-    private final Api.Protection rules;
+    private final Api.Protection protection;
     final double startedAt;
     private double tokens;
     private double tokensAt;
     private double drawnUntil;
 
-    /** A random first token: by chance, all balancers together then send what their budgets add up to. */
-    WarmUp(Api.Protection rules, double startedAt, double now, double chance) {
-        this.rules = rules;
+    /** The first token is random, so that all routers together send about the sum of their budgets. */
+    WarmUp(Api.Protection protection, double startedAt, double now, double randomDraw) {
+        this.protection = protection;
         this.startedAt = startedAt;
-        tokens = chance;
+        tokens = randomDraw;
         tokensAt = now;
     }
 
-    /** Part of its capacity that it has at the least. */
+    /** Returns the least fraction of its full capacity that the server has by now. */
     double share(double now) {
         double age = Math.max(0, now - startedAt);
-        if (startedAt == 0 || age >= rules.warmUp()) {
+        if (startedAt == 0 || age >= protection.warmUp()) {
             return 1;
         }
-        return Math.min(1, rules.coldShare() + (1 - rules.coldShare()) * age / rules.warmUp());
+        return Math.min(1, protection.coldShare() + (1 - protection.coldShare()) * age / protection.warmUp());
     }
 
-    /** @param part of what it bears, {@code whole} a second, that is aimed at */
-    boolean affords(double now, double whole, double part, double chance) {
-        double rate = part * whole;
-        double budget = rate * rules.overloadSpan();
+    /** @param fraction aimed at, of the {@code tolerated} requests per second */
+    boolean hasBudget(double now, double tolerated, double fraction, double randomDraw) {
+        double rate = fraction * tolerated;
+        double budget = rate * protection.overloadSpan();
         if (budget >= 1) {
             tokens = Math.min(Math.max(1, budget / 2), tokens + (now - tokensAt) * rate);
             tokensAt = now;
         } else if (now >= drawnUntil) {
-            // Less than one is not saved up, or all balancers at once would send one each: it is drawn for
-            // a span at a time, by the whole, for what is drawn and not used is lost.
-            drawnUntil = now + rules.overloadSpan();
+            // A budget below one send is not saved up, or all routers would send one each at the same time.
+            // It is drawn once per span, from the full tolerated rate, since an unused draw is lost.
+            drawnUntil = now + protection.overloadSpan();
             tokensAt = now;
-            tokens = chance < whole * rules.overloadSpan() ? 1 : 0;
+            tokens = randomDraw < tolerated * protection.overloadSpan() ? 1 : 0;
         }
         return tokens >= 1;
     }
--- a/router/src/main/java/stagepier/package-info.java
+++ b/router/src/main/java/stagepier/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The decisions of one router: which cache server each request goes to, and whether it is sent, repeated or refused.
- * Free of I/O, clock and randomness of its own; {@link stagepier.Api} is the interface to its host.
+ * The decision module of a router: selects a cache server for each request and decides whether to send,
+ * repeat or refuse it. It does no I/O, reads no clock and draws random numbers only from its seed;
+ * {@link stagepier.Api} is the interface to its host.
  */
 package stagepier;
--- a/router/src/test/java/stagepier/ArchitectureTest.java
+++ b/router/src/test/java/stagepier/ArchitectureTest.java
@@ -11,11 +11,11 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** Which package may know which. */
+/** Permitted dependencies between packages. */
 @AnalyzeClasses(packages = "stagepier", importOptions = DoNotIncludeTests.class)
 class ArchitectureTest {
     @ArchTest
-    static final ArchRule CLIENTS_DO_NOT_KNOW_SERVERS = noClasses()
+    static final ArchRule CLIENTS_DO_NOT_DEPEND_ON_SERVERS = noClasses()
             .that()
             .resideInAPackage("stagepier.client..")
             .should()
@@ -23,14 +23,14 @@
             .resideInAPackage("stagepier.server..");
 
     @ArchTest
-    static final ArchRule SERVERS_DO_NOT_KNOW_CLIENTS = noClasses()
+    static final ArchRule SERVERS_DO_NOT_DEPEND_ON_CLIENTS = noClasses()
             .that()
             .resideInAPackage("stagepier.server..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("stagepier.client..");
 
-    /** What decides has neither I/O nor clock nor randomness of its own. */
+    /** The decision packages do no I/O, read no clock and have no random source of their own. */
     @ArchTest
     static final ArchRule DECISIONS_ARE_PURE = noClasses()
             .that()
@@ -58,16 +58,16 @@
             .callMethod(Math.class, "random");
 
     @ArchTest
-    static final ArchRule PARSERS_KNOW_NO_SOCKETS = noClasses()
+    static final ArchRule PARSERS_DO_NOT_DEPEND_ON_SOCKETS = noClasses()
             .that()
             .resideInAPackage("stagepier.memcache..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage("io.netty..", "java.net..");
 
-    /** What routers tell each other has one form and one sum for sockets and simulator alike. */
+    /** The format and the summing of peer reports are shared by sockets and the simulator. */
     @ArchTest
-    static final ArchRule NEWS_KNOWS_NO_SOCKETS = noClasses()
+    static final ArchRule PEER_REPORTS_DO_NOT_DEPEND_ON_SOCKETS = noClasses()
             .that()
             .resideInAPackage("stagepier.peers..")
             .and()
@@ -77,7 +77,7 @@
             .resideInAnyPackage("io.netty..", "java.net..", "org.slf4j..");
 
     @ArchTest
-    static final ArchRule PEERS_STAND_ALONE = noClasses()
+    static final ArchRule PEERS_DO_NOT_DEPEND_ON_ROUTING_PACKAGES = noClasses()
             .that()
             .resideInAPackage("stagepier.peers..")
             .should()
@@ -86,14 +86,14 @@
                     "stagepier.client..", "stagepier.server..", "stagepier.exchange..", "stagepier.discovery..");
 
     @ArchTest
-    static final ArchRule NOTHING_KNOWS_THE_APP = noClasses()
+    static final ArchRule ONLY_THE_APP_DEPENDS_ON_THE_APP = noClasses()
             .that()
             .resideOutsideOfPackage("stagepier.app..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("stagepier.app..");
 
-    /** A bootstrap that opens a socket itself tells of a failure on another thread than the event loop. */
+    /** A bootstrap that opens a socket itself reports a failure on a thread other than the event loop's. */
     @ArchTest
     static final ArchRule SOCKETS_ARE_OPENED_IN_ONE_PLACE = noClasses()
             .that()
@@ -105,8 +105,8 @@
             .orShould()
             .callConstructor(NioServerSocketChannel.class);
 
-    /** What is static is shared by all deployments in a process; {@link StaticStateTest} looks into what it holds. */
+    /** Static fields are shared by all deployments in a process; {@link StaticStateTest} checks their values. */
     @ArchTest
-    static final ArchRule WHAT_IS_STATIC_IS_FINAL =
+    static final ArchRule STATIC_FIELDS_ARE_FINAL =
             fields().that().areStatic().should().beFinal();
 }
--- a/router/src/test/java/stagepier/BulkheadTest.java
+++ b/router/src/test/java/stagepier/BulkheadTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 class BulkheadTest {
-    /** Guards against a start at which most is turned away: with two, 40% was in the first seconds of a busy day. */
-    private static final int FLOOR = 12;
+    /** A minimum of 2 refused 40% of requests in the first seconds after a start under high load. */
+    private static final int MIN_TICKETS = 12;
 
     @Test
-    void capNeverFallsBelowTheFloorAndGrowsWithUsualConcurrency() {
-        assertEquals(FLOOR, Bulkhead.cap(0));
+    void capNeverFallsBelowItsMinimumAndGrowsWithMeanConcurrency() {
+        assertEquals(MIN_TICKETS, Bulkhead.cap(0));
         assertEquals(15, Bulkhead.cap(4.2));
         assertEquals(183, Bulkhead.cap(126));
     }
 
-    /** Keys of one owner: a single one asked for so often would be spread for its heat. */
+    /** Returns distinct keys of one owner, since a single key requested so often would be spread as a hot key. */
     private static long[] keysOfOneOwner(int servers, int count) {
         Fixture f = Fixture.through(servers);
         return LongStream.iterate(1, k -> k + 1)
@@ -33,36 +33,37 @@
     }
 
     @Test
-    void aSendPastTheCapGoesToTheNextRingServerAtOnce() {
+    void sendBeyondTheCapGoesToTheNextRingServerImmediately() {
         Fixture f = Fixture.through(2);
-        long[] keys = keysOfOneOwner(2, FLOOR + 4);
+        long[] keys = keysOfOneOwner(2, MIN_TICKETS + 4);
         for (long key : keys) {
             f.request(0, key);
         }
-        assertEquals(keys.length, f.host.sends.size(), "spilled within the same event");
-        assertEquals(FLOOR, f.host.sends.stream().filter(s -> s.server() == 1).count());
+        assertEquals(keys.length, f.host.sends.size(), "all requests are sent within the same event");
+        assertEquals(
+                MIN_TICKETS, f.host.sends.stream().filter(s -> s.server() == 1).count());
         assertEquals(2, f.host.last().server());
     }
 
-    /** Guards against waiting at the owner while the next ring server has nothing to do: only one more is asked. */
+    /** Prevents queueing at the owner while the next ring server is idle; only one further server is tried. */
     @Test
-    void aServerBusyByChanceYieldsToTheNextOneAndNoFurther() {
+    void requestMovesFromARandomlyBusyServerToTheNextOneOnly() {
         Fixture f = Fixture.through(2);
         for (long key : keysOfOneOwner(2, 7)) {
             f.request(0, key);
         }
         List<Long> servers =
                 f.host.sends.stream().map(ScriptedHost.Sent::server).toList();
-        assertEquals(List.of(1L, 1L, 1L, 2L, 2L, 2L, 1L), servers, "both busy: back at the owner");
+        assertEquals(List.of(1L, 1L, 1L, 2L, 2L, 2L, 1L), servers, "with both busy, the owner is used again");
     }
 
     @Test
-    void withTheRingExhaustedTheRequestIsRefusedWithinWhatClientsFollow() {
+    void whenAllServersAreFullRequestsAreRefusedWithARetryAfterInTheLimit() {
         Fixture f = Fixture.through(2);
-        for (int i = 0; i < 2 * FLOOR + 2; i++) {
+        for (int i = 0; i < 2 * MIN_TICKETS + 2; i++) {
             f.request(0, 77);
         }
-        assertEquals(2 * FLOOR, f.host.sends.size());
+        assertEquals(2 * MIN_TICKETS, f.host.sends.size());
         assertEquals(2, f.host.refused.size());
         for (double after : f.host.retryAfters) {
             assertEquals(true, after > 0 && after <= 0.75);
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void anEmptyFleetRefuses() {
+    void requestIsRefusedWhenThereAreNoServers() {
         Fixture f = Fixture.through(0);
         f.request(0, 77);
         assertEquals(1, f.host.refused.size());
--- a/router/src/test/java/stagepier/ColdServersTest.java
+++ b/router/src/test/java/stagepier/ColdServersTest.java
@@ -6,41 +6,43 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** What all routers together send to cold servers, by the real module in virtual time. */
+/** Load that all routers together send to cold servers, with the real decision module in virtual time. */
 class ColdServersTest {
     private static final int SEEDS = 200;
-    /** Where N is large, which is far from the bound. */
-    private static final int SEEDS_LARGE = 50;
+    /** Fewer seeds for long spans, where the count is far below its bound. */
+    private static final int SEEDS_LONG_SPAN = 50;
 
     private static final int[] ROUTERS = {1, 5, 14, 30, 100};
-    /** Chance alone goes past two deviations above N about so often. */
-    private static final double BY_CHANCE = 0.02;
+    /** Rate at which random variation alone exceeds the bound of two deviations. */
+    private static final double CHANCE_RATE = 0.02;
 
-    private static ColdFleet.Result play(int routers, ColdFleet.Day day) {
-        ColdFleet.Result all = LongStream.range(0, day.span() < 1 ? SEEDS : SEEDS_LARGE)
+    private static ColdFleet.Result run(int routers, ColdFleet.Scenario scenario) {
+        ColdFleet.Result all = LongStream.range(0, scenario.overloadSpan() < 1 ? SEEDS : SEEDS_LONG_SPAN)
                 .parallel()
-                .mapToObj(seed -> ColdFleet.play(routers, day, seed))
+                .mapToObj(seed -> ColdFleet.run(routers, scenario, seed))
                 .reduce(new ColdFleet.Result(0, 0, 0, 0, 0), ColdFleet.Result::plus);
         System.out.printf(
                 Locale.ROOT,
                 "%-16s x%.0f %3d routers: %d of %d over, highest %.2f, served %.4f of %d%n",
-                day.name(),
-                day.told(),
+                scenario.name(),
+                scenario.factorScale(),
                 routers,
-                all.over(),
+                all.exceeded(),
                 all.starts(),
                 all.highest(),
-                all.served() / (double) all.asked(),
-                all.asked());
+                all.served() / (double) all.requests(),
+                all.requests());
         return all;
     }
 
     @Test
-    void allRoutersTogetherKeepToWhatAColdServerBears() {
-        for (ColdFleet.Day day : ColdFleet.DAYS) {
+    void allRoutersTogetherKeepWithinTheOverloadLimitOfColdServers() {
+        for (ColdFleet.Scenario scenario : ColdFleet.SCENARIOS) {
             for (int routers : ROUTERS) {
-                ColdFleet.Result all = play(routers, day);
-                assertTrue(all.over() <= BY_CHANCE * all.starts(), day.name() + ", " + routers + " routers: " + all);
+                ColdFleet.Result all = run(routers, scenario);
+                assertTrue(
+                        all.exceeded() <= CHANCE_RATE * all.starts(),
+                        scenario.name() + ", " + routers + " routers: " + all);
             }
         }
     }
--- a/router/src/test/java/stagepier/DeploymentNamesTest.java
+++ b/router/src/test/java/stagepier/DeploymentNamesTest.java
@@ -18,11 +18,11 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
 
-/** Guards against a program or deploy file that is fitted to one deployment: none of a deployment's names is in them. */
+/** The program and its deploy file must not be fitted to one deployment: they contain none of its names. */
 class DeploymentNamesTest {
     private static final Path ROOT = Path.of("..");
-    /** Of deployments whose site files are not in this repository. */
-    private static final Set<String> OTHERS = Set.of(
+    /** Names from deployments whose site files are not in this repository. */
+    private static final Set<String> OTHER_DEPLOYMENTS = Set.of(
             "fantasy-cairo",
             "squad-view",
             "player-stats",
@@ -84,7 +84,7 @@
     }
 
     private static Set<String> allNames() throws IOException {
-        Set<String> names = new TreeSet<>(OTHERS);
+        Set<String> names = new TreeSet<>(OTHER_DEPLOYMENTS);
         try (Stream<Path> files = Files.walk(ROOT.resolve("deploy/sites"))) {
             for (Path site : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
                 names.addAll(names(site));
@@ -94,9 +94,10 @@
     }
 
     /**
-     * A name as a whole word: of several words anywhere, of one in a string only, for those are also words of comments and code.
+     * Returns a pattern that matches a name as a whole word: anywhere if it is hyphenated, otherwise only within a
+     * string, since single words also occur in comments and code.
      */
-    private static Pattern form(String name) {
+    private static Pattern pattern(String name) {
         String word = "(?<![\\w-])" + Pattern.quote(name) + "(?![\\w-])";
         return Pattern.compile(name.contains("-") ? word : "\"[^\"\n]*" + word + "[^\"\n]*\"");
     }
@@ -104,13 +105,13 @@
     private static List<String> found(Path file, Set<String> names) throws IOException {
         String text = Files.readString(file);
         return names.stream()
-                .filter(name -> form(name).matcher(text).find())
+                .filter(name -> pattern(name).matcher(text).find())
                 .map(name -> file.getFileName() + ": " + name)
                 .toList();
     }
 
     @Test
-    void noDeploymentIsNamedInTheProgramOrItsDeployFile() throws IOException {
+    void programAndDeployFileContainNoDeploymentName() throws IOException {
         Set<String> names = allNames();
         List<String> found = new ArrayList<>(found(ROOT.resolve("deploy/balancer.toml"), names));
         try (Stream<Path> files = Files.walk(Path.of("src/main"))) {
@@ -121,9 +122,9 @@
         assertEquals(List.of(), found);
     }
 
-    /** Guards against a look at nothing. */
+    /** Ensures that the check above does not search for an empty or wrong set of names. */
     @Test
-    void theNamesOfTheSiteFilesAreRead() throws IOException {
+    void namesOfTheSiteFilesAreRead() throws IOException {
         Set<String> names = allNames();
         assertTrue(
                 names.containsAll(Set.of(
@@ -138,8 +139,8 @@
                         "annelinn",
                         "vm")),
                 names.toString());
-        assertTrue(form("bank").matcher("x(\"a bank, b\")").find());
-        assertTrue(form("bank-2").matcher("// for bank-2 only").find());
-        assertTrue(!form("bank").matcher("x(\"bank-2\", \"banks\")").find());
+        assertTrue(pattern("bank").matcher("x(\"a bank, b\")").find());
+        assertTrue(pattern("bank-2").matcher("// for bank-2 only").find());
+        assertTrue(!pattern("bank").matcher("x(\"bank-2\", \"banks\")").find());
     }
 }
--- a/router/src/test/java/stagepier/EmbeddingExampleTest.java
+++ b/router/src/test/java/stagepier/EmbeddingExampleTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The example of README, compiled and run, and compared with the text there. */
+/** Compiles and runs the example of the README, and compares it with the text there. */
 class EmbeddingExampleTest {
     private static final class Embedded implements Api.Host {
         private final RoutingPolicy policy;
@@ -85,27 +85,28 @@
     }
 
     @Test
-    void theExampleSendsItsRequest() {
+    void exampleSendsItsRequest() {
         Embedded example = new Embedded();
         example.start(5);
         assertEquals(1, example.printed.size());
         assertTrue(example.printed.get(0).startsWith("send request 1001 to server "), example.printed.get(0));
     }
 
-    /** A change of the interface must reach the page: each statement there stands in this compiled copy. */
+    /** Keeps the README in step with the interface: each of its statements must occur in this compiled copy. */
     @Test
-    void theReadmeShowsThisExample() throws IOException {
+    void readmeContainsTheStatementsOfThisExample() throws IOException {
         String readme = Files.readString(Path.of("../README.md"));
         String code = readme.substring(readme.indexOf("```java") + 7);
         code = code.substring(code.indexOf("Embedded() {"), code.indexOf("public static void main"));
-        String here = squeeze(Files.readString(Path.of("src/test/java/stagepier/EmbeddingExampleTest.java")));
+        String source =
+                withoutWhitespace(Files.readString(Path.of("src/test/java/stagepier/EmbeddingExampleTest.java")));
         for (String statement :
                 code.replace("System.out.println(", "printed.add(").split(";")) {
-            assertTrue(here.contains(squeeze(statement)), statement);
+            assertTrue(source.contains(withoutWhitespace(statement)), statement);
         }
     }
 
-    private static String squeeze(String text) {
+    private static String withoutWhitespace(String text) {
         return text.lines().map(String::strip).collect(Collectors.joining()).replaceAll("\\s", "");
     }
 }
--- a/router/src/test/java/stagepier/Fixture.java
+++ b/router/src/test/java/stagepier/Fixture.java
@@ -11,7 +11,7 @@
 import stagepier.Api.Scope;
 import stagepier.Api.WeightMeaning;
 
-/** One balancer with a fleet, and short words for what happens to it. Classes: 0 safe, 1 keyed, 2 unsafe. */
+/** One router with a fleet of servers, and short methods for its events. Classes: 0 safe, 1 keyed, 2 unsafe. */
 final class Fixture {
     static final float[] NO_REPORT = {};
     static final long ORIGIN = 9000;
@@ -92,7 +92,7 @@
                 now, request, attempt, server, outcome, elapsed, outcome == Outcome.OK, Lookup.UNKNOWN, NO_REPORT);
     }
 
-    /** A request that is sent and served; returns the server, or -1 where it was refused. */
+    /** Sends a request that is answered with OK; returns its server, or -1 if it was refused. */
     long serve(int classIndex, long key) {
         int before = host.sends.size();
         long id = request(classIndex, key);
@@ -105,15 +105,15 @@
         return server;
     }
 
-    /** Serves so many requests, each for a key of its own: the balancer then knows healthy answers. */
+    /** Serves a number of requests with distinct keys, from which the router learns normal answer times. */
     void warm(int requests) {
         for (int i = 0; i < requests; i++) {
             serve(0, i + 1);
         }
     }
 
-    /** A first attempt that ends as told; returns whether another send followed. */
-    boolean followsAfter(int classIndex, Outcome outcome) {
+    /** Ends a first attempt with an outcome; returns whether another send followed. */
+    boolean retriesAfter(int classIndex, Outcome outcome) {
         long id = request(classIndex, 77);
         int before = host.sends.size();
         long server = host.last().server();
--- a/router/src/test/java/stagepier/HashRingTest.java
+++ b/router/src/test/java/stagepier/HashRingTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aNewServerTakesKeysFromOthersAndMovesNoOther() {
+    void addingAServerMovesOnlyTheKeysThatItTakes() {
         HashRing ring = ring(SERVERS);
         int[] before = owners(ring);
         ring.add(SERVERS, 5000, 100);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void removingAServerMovesOnlyItsKeysAndAddingItAgainRestoresAll() {
+    void removingAServerMovesOnlyItsKeysAndAddingItAgainRestoresThem() {
         HashRing ring = ring(SERVERS);
         int[] before = owners(ring);
         ring.remove(7);
@@ -73,16 +73,16 @@
     }
 
     @Test
-    void theOrderOfAddingDoesNotMatter() {
-        HashRing backwards = new HashRing();
+    void ringDoesNotDependOnInsertionOrder() {
+        HashRing reversed = new HashRing();
         for (int i = SERVERS - 1; i >= 0; i--) {
-            backwards.add(i, 1000 + i, 100);
+            reversed.add(i, 1000 + i, 100);
         }
-        assertEquals(Arrays.toString(owners(ring(SERVERS))), Arrays.toString(owners(backwards)));
+        assertEquals(Arrays.toString(owners(ring(SERVERS))), Arrays.toString(owners(reversed)));
     }
 
     @Test
-    void changesBetweenTwoReadsMakeTheRingThatSingleOnesMake() {
+    void batchedChangesMakeTheSameRingAsSingleChanges() {
         SplittableRandom random = new SplittableRandom(29);
         HashRing batched = ring(SERVERS);
         HashRing single = ring(SERVERS);
@@ -94,7 +94,7 @@
                 if (in[slot]) {
                     ring.remove(slot);
                 } else {
-                    // Another server than before at the same slot.
+                    // Adds a server other than the previous one at the same slot.
                     ring.add(slot, 1000 + step, 100);
                 }
             }
@@ -106,9 +106,9 @@
         }
     }
 
-    /** By memory taken, which is the same in each run: a ring of 200 servers holds 160 KB. */
+    /** Measured by allocated memory, which is the same in each run: a ring of 200 servers takes 160 KB. */
     @Test
-    void aListThatChangesManyServersMakesTheRingOnce() {
+    void manyChangesBetweenReadsRebuildTheRingOnce() {
         HashRing ring = ring(200);
         ring.owner(1);
         var threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -118,7 +118,7 @@
             ring.add(i, 9000 + i, 100);
         }
         ring.owner(1);
-        long taken = threads.getCurrentThreadAllocatedBytes() - before;
-        assertTrue(taken < 2_000_000, "took " + taken + " bytes");
+        long allocated = threads.getCurrentThreadAllocatedBytes() - before;
+        assertTrue(allocated < 2_000_000, "allocated " + allocated + " bytes");
     }
 }
--- a/router/src/test/java/stagepier/HotKeyTest.java
+++ b/router/src/test/java/stagepier/HotKeyTest.java
@@ -10,39 +10,39 @@
 import org.junit.jupiter.api.Test;
 import stagepier.Api.Outcome;
 
-/** Keys that are asked for often: a copy spares their owner, and costs the origin a fetch. */
+/** Frequently requested keys: a copy at another server relieves the owner, but costs a fetch at the origin. */
 class HotKeyTest {
     private static final int SERVERS = 60;
 
     /**
-     * A router among many sees few requests, and some keys come three or four times by chance. Guards against copies of
-     * such keys all over the fleet.
+     * A router among many sees few requests, of which some keys are repeated three or four times by chance. Such keys
+     * must not be copied to many servers.
      */
     @Test
-    void aKeyThatComesAFewTimesByChanceStaysWithItsOwner() {
+    void keyRequestedAFewTimesByChanceStaysAtItsOwner() {
         Fixture f = Fixture.through(SERVERS);
-        List<Long> elsewhere = new ArrayList<>();
+        List<Long> notAtOwner = new ArrayList<>();
         for (long key = 1; key <= 20; key++) {
             long owner = f.serve(0, 7000 + key);
-            for (int more = 0; more < 3; more++) {
-                f.serve(0, 100 * key + more);
+            for (int repeat = 0; repeat < 3; repeat++) {
+                f.serve(0, 100 * key + repeat);
                 if (f.serve(0, 7000 + key) != owner) {
-                    elsewhere.add(key);
+                    notAtOwner.add(key);
                 }
             }
         }
-        assertEquals(List.of(), elsewhere);
+        assertEquals(List.of(), notAtOwner);
     }
 
-    /** Guards against copies that each cost a fetch while the origin has no room even for those of the owners. */
+    /** Each copy costs a fetch, so none is made while the origin cannot even serve the fetches of the owners. */
     @Test
-    void aHotKeyHasCopiesOnlyWhileFetchesAreAdmitted() {
+    void hotKeyIsSpreadOnlyWhileFetchesAreAdmitted() {
         Fixture f = Fixture.through(SERVERS);
         f.warm(100);
         for (int i = 0; i < 100; i++) {
             f.serve(0, 7);
         }
-        assertTrue(serversOf(f, 7) > 3, "it is hot");
+        assertTrue(serversOf(f, 7) > 3, "the key is spread as a hot key");
         for (long key = 200; key < 220; key++) {
             long id = f.request(0, key);
             if (f.host.last().request() == id) {
@@ -51,7 +51,7 @@
                 f.policy.onClientGone(f.now, id);
             }
         }
-        assertEquals(1, serversOf(f, 7), "fetches fail everywhere, and some are shed");
+        assertEquals(1, serversOf(f, 7), "fetches fail at all servers, so the key stays at one");
     }
 
     private static int serversOf(Fixture f, long key) {
--- a/router/src/test/java/stagepier/KnownRedTest.java
+++ b/router/src/test/java/stagepier/KnownRedTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which tests {@code .ci/run} passes over: just those that KNOWN-RED.txt names, and never many. */
+/** {@code .ci/run} excludes exactly the tests that KNOWN-RED.txt names, and at most three. */
 class KnownRedTest {
     private static final int BAD_DATA = 65;
     private static final String LINE = "some.of.ThingTest#%s | mvn -Dtest=ThingTest test, seed 1 | it is slow | #12";
@@ -22,10 +22,10 @@
     @TempDir
     private Path root;
 
-    private record Said(int code, List<String> excluded, List<String> told) {}
+    private record Result(int exitCode, List<String> excluded, List<String> messages) {}
 
     @BeforeEach
-    void aTest() throws Exception {
+    void writeTestClass() throws Exception {
         Path folder = Files.createDirectories(root.resolve("module/src/test/java/some/of"));
         Files.writeString(folder.resolve("ThingTest.java"), """
                 class ThingTest {
@@ -37,7 +37,7 @@
                 """);
     }
 
-    private Said run() throws Exception {
+    private Result run() throws Exception {
         Path out = root.resolve("out");
         Path err = root.resolve("err");
         Process process = new ProcessBuilder(
@@ -46,10 +46,10 @@
                 .redirectError(err.toFile())
                 .start();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-        return new Said(process.exitValue(), Files.readAllLines(out), Files.readAllLines(err));
+        return new Result(process.exitValue(), Files.readAllLines(out), Files.readAllLines(err));
     }
 
-    private Said run(String text) throws Exception {
+    private Result run(String text) throws Exception {
         Files.writeString(root.resolve("KNOWN-RED.txt"), text, StandardCharsets.UTF_8);
         return run();
     }
@@ -59,30 +59,30 @@
     }
 
     @Test
-    void withNoFileOrAnEmptyOneNothingIsPassedOver() throws Exception {
-        assertEquals(new Said(0, List.of(), List.of()), run());
-        assertEquals(new Said(0, List.of(), List.of()), run(""));
+    void missingOrEmptyFileExcludesNoTest() throws Exception {
+        assertEquals(new Result(0, List.of(), List.of()), run());
+        assertEquals(new Result(0, List.of(), List.of()), run(""));
     }
 
     @Test
-    void eachLineIsPrintedAndItsTestPassedOver() throws Exception {
+    void eachLineIsPrintedAndItsTestExcluded() throws Exception {
         assertEquals(
-                new Said(0, List.of("some.of.ThingTest#one"), List.of("known red: " + LINE.formatted("one"))),
+                new Result(0, List.of("some.of.ThingTest#one"), List.of("known red: " + LINE.formatted("one"))),
                 run(lines("one")));
-        Said three = run(lines("one", "two", "three"));
-        assertEquals(0, three.code());
+        Result three = run(lines("one", "two", "three"));
+        assertEquals(0, three.exitCode());
         assertEquals(
                 List.of("some.of.ThingTest#one", "some.of.ThingTest#two", "some.of.ThingTest#three"), three.excluded());
-        assertEquals(3, three.told().size());
-        assertEquals(1, run(lines("one").stripTrailing()).excluded().size(), "a last line without its end counts, too");
+        assertEquals(3, three.messages().size());
+        assertEquals(1, run(lines("one").stripTrailing()).excluded().size(), "a last line without a line end counts");
     }
 
     @Test
-    void aFourthLineFails() throws Exception {
-        assertEquals(BAD_DATA, run(lines("one", "two", "three", "four")).code());
+    void fourthLineFails() throws Exception {
+        assertEquals(BAD_DATA, run(lines("one", "two", "three", "four")).exitCode());
         assertEquals(
                 BAD_DATA,
-                run(lines("one", "two", "three", "four").stripTrailing()).code());
+                run(lines("one", "two", "three", "four").stripTrailing()).exitCode());
     }
 
     @ParameterizedTest
@@ -105,21 +105,23 @@
                 "",
                 " "
             })
-    void aMalformedLineFailsInOneLine(String line) throws Exception {
-        Said said = run(line + "\n");
-        assertEquals(BAD_DATA, said.code());
+    void malformedLineFailsWithOneMessage(String line) throws Exception {
+        Result result = run(line + "\n");
+        assertEquals(BAD_DATA, result.exitCode());
         assertEquals(
                 List.of(
                         "KNOWN-RED.txt: line 1 is not 'package.Class#method | command and seed | what was seen | issue'"),
-                said.told());
+                result.messages());
     }
 
     @ParameterizedTest
     @ValueSource(
             strings = {"some.of.ThingTest#gone | command | seen | #1", "some.of.OtherTest#one | command | seen | #1"})
-    void aLineThatNamesNoTestFails(String line) throws Exception {
-        Said said = run(line + "\n");
-        assertEquals(BAD_DATA, said.code());
-        assertTrue(said.told().get(0).contains("names no test"), said.told().toString());
+    void lineThatNamesNoTestFails(String line) throws Exception {
+        Result result = run(line + "\n");
+        assertEquals(BAD_DATA, result.exitCode());
+        assertTrue(
+                result.messages().get(0).contains("names no test"),
+                result.messages().toString());
     }
 }
--- a/router/src/test/java/stagepier/LateFetchTest.java
+++ b/router/src/test/java/stagepier/LateFetchTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import stagepier.Api.Outcome;
 
-/** An origin that jams shows by fetches that are late, long before their time is up. */
+/** An overloaded origin is detected by late fetches, long before they time out. */
 class LateFetchTest {
     private static final int SERVERS = 60;
 
-    /** Sends so many reads of unknown keys at once; returns their ids. */
-    private static List<Long> reads(Fixture f, long from, int n) {
+    /** Sends {@code count} reads of unknown keys at once; returns the ids of those not refused. */
+    private static List<Long> reads(Fixture f, long from, int count) {
         List<Long> sent = new ArrayList<>();
-        for (long key = from; key < from + n; key++) {
+        for (long key = from; key < from + count; key++) {
             long id = f.request(0, key);
             if (!f.host.refused.contains(id)) {
                 sent.add(id);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void fetchesThatPassTheirAimShutTheGateBeforeTheirTimeIsUp() {
+    void fetchesLaterThanTheirTargetShutTheGateBeforeTheyTimeOut() {
         Fixture f = Fixture.through(SERVERS);
         f.warm(40);
         f.host.timers.clear();
@@ -39,12 +39,12 @@
         f.now += 0.51;
         fireTimers(f);
         int sent = reads(f, 2000, 100).size();
-        assertTrue(sent < 60, sent + " of 100 were sent on to an origin that answered none of 20");
+        assertTrue(sent < 60, sent + " of 100 reads were sent although the origin had answered none of 20");
     }
 
-    /** Guards against taking the balancer's own standstill for the origin's: the answers may lie there unread. */
+    /** A pause of the router itself must not be attributed to the origin, whose answers may be waiting unread. */
     @Test
-    void timersThatComeLateThemselvesDoNot() {
+    void lateTimersDoNotShutTheGate() {
         Fixture f = Fixture.through(SERVERS);
         f.warm(40);
         f.host.timers.clear();
@@ -54,9 +54,9 @@
         assertEquals(100, reads(f, 2000, 100).size());
     }
 
-    /** Guards against a timer that outlives its request, and one that counts what was answered in time. */
+    /** A timer that fires after its request has ended must not count an answer that was in time as late. */
     @Test
-    void fetchesThatEndInTimeDoNot() {
+    void fetchesThatEndInTimeDoNotShutTheGate() {
         Fixture f = Fixture.through(SERVERS);
         f.warm(40);
         for (long id : reads(f, 1000, 20)) {
--- a/router/src/test/java/stagepier/LocalCrowdTest.java
+++ b/router/src/test/java/stagepier/LocalOverloadTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import stagepier.Api.MemberState;
 
-/** Servers that have room beside others that have none. */
-class LocalCrowdTest {
+/** Routing when some servers have capacity left and others have none. */
+class LocalOverloadTest {
     /** Sends a request; returns its server, or -1 where it was refused. */
     private static long send(Fixture f, long key) {
         int before = f.host.sends.size();
@@ -16,9 +16,9 @@
         return f.host.sends.size() == before ? -1 : f.host.last().server();
     }
 
-    /** Guards against refusing what cold servers could bear: their share of keys is for when others have room. */
+    /** Cold servers with capacity left must be used before refusing; their key share applies if others have room. */
     @Test
-    void whatNoWarmServerTakesGoesToAColdOneWithinItsBudget() {
+    void requestsThatNoWarmServerAcceptsGoToAColdOneWithinItsBudget() {
         Fixture f = Fixture.through(2);
         for (int i = 0; i < 2000; i++) {
             f.serve(0, i + 1);
@@ -31,16 +31,16 @@
             }
         }
         f.members(false, List.of(Fixture.member(2, MemberState.READY, f.now)));
-        for (int passes = 0; passes < 2; passes++) {
+        for (int pass = 0; pass < 2; pass++) {
             outsideItsShare.removeIf(key -> f.serve(0, key) == 2);
         }
         List<Long> servers = new ArrayList<>();
         outsideItsShare.forEach(key -> servers.add(send(f, key)));
         int full = 0;
-        for (int ofTheWarm = 0; ofTheWarm < 12; full++) {
-            ofTheWarm += servers.get(full) == 1 ? 1 : 0;
+        for (int sentToWarm = 0; sentToWarm < 12; full++) {
+            sentToWarm += servers.get(full) == 1 ? 1 : 0;
         }
-        assertEquals(2, servers.get(full), "the cold one next: " + servers);
-        assertEquals(-1L, servers.get(servers.size() - 1), "and refused once it is busy: " + servers);
+        assertEquals(2, servers.get(full), "the cold server follows when the warm one is full: " + servers);
+        assertEquals(-1L, servers.get(servers.size() - 1), "refused once the cold server is busy: " + servers);
     }
 }
--- a/router/src/test/java/stagepier/MembershipTest.java
+++ b/router/src/test/java/stagepier/MembershipTest.java
@@ -20,7 +20,7 @@
 
 class MembershipTest {
     @Test
-    void nothingNewGoesToADrainingOrGoneServerFromTheMomentItIsHeard() {
+    void drainingOrGoneServerGetsNoNewRequests() {
         for (MemberState state : List.of(MemberState.DRAINING, MemberState.GONE)) {
             Fixture f = Fixture.through(5);
             long owner = f.serve(0, 77);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aServerMissingInACompleteListIsGone() {
+    void serverMissingInACompleteListIsGone() {
         Fixture f = Fixture.through(5);
         f.members(true, Fixture.fleet(1, 0));
         for (int key = 1; key < 50; key++) {
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aServerListedTwiceCountsOnceAndTheLastEntryHolds() {
+    void serverListedTwiceCountsOnceWithItsLastEntry() {
         Fixture f = Fixture.through(0);
         f.members(true, List.of(Fixture.member(1, MemberState.READY, 0), Fixture.member(1, MemberState.DRAINING, 0)));
         f.request(0, 77);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aServerThatComesBackGetsItsKeysBackAndNoOtherKeyMoved() {
+    void returningServerGetsItsKeysBackAndNoOtherKeyMoves() {
         Fixture f = Fixture.through(5);
         List<Long> before = owners(f);
         f.members(false, List.of(Fixture.member(2, MemberState.GONE, 0)));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aLiveWeightMovesNoKey() {
+    void liveWeightMovesNoKey() {
         Fixture f = new Fixture(Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.LIVE));
         f.members(true, Fixture.fleet(8, 0));
         List<Long> before = owners(f);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aListedSizeSharesKeysInProportion() {
+    void keysAreSharedInProportionToListedSizes() {
         Fixture f = new Fixture(Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.SIZE));
         List<Member> members = new ArrayList<>();
         for (int i = 1; i <= 10; i++) {
@@ -118,8 +118,8 @@
     }
 
     @Test
-    void settingsThatMakeNoSenseAreRefusedAtTheStart() {
-        Api.Settings ok = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
+    void invalidSettingsAreRejectedByTheConstructor() {
+        Api.Settings valid = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new RoutingPolicy(
@@ -128,15 +128,15 @@
                                 0,
                                 List.of(),
                                 List.of(),
-                                ok.weights(),
-                                ok.fetching(),
+                                valid.weights(),
+                                valid.fetching(),
                                 -1,
                                 0,
                                 1,
-                                ok.limits(),
-                                ok.protection(),
-                                ok.prices(),
-                                ok.report(),
+                                valid.limits(),
+                                valid.protection(),
+                                valid.prices(),
+                                valid.report(),
                                 false),
                         1,
                         new ScriptedHost()));
@@ -146,39 +146,39 @@
                         new Api.Settings(
                                 1,
                                 0,
-                                ok.classes(),
+                                valid.classes(),
                                 List.of(),
-                                ok.weights(),
+                                valid.weights(),
                                 Fetching.ASIDE,
                                 -1,
                                 0,
                                 1,
-                                ok.limits(),
-                                ok.protection(),
-                                ok.prices(),
-                                ok.report(),
+                                valid.limits(),
+                                valid.protection(),
+                                valid.prices(),
+                                valid.report(),
                                 false),
                         1,
                         new ScriptedHost()));
     }
 
     @Test
-    void oddButLegalSettingsStillAnswerEveryRequest() {
-        Api.Settings ok = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
+    void unusualButValidSettingsAnswerEveryRequest() {
+        Api.Settings valid = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
         Fixture f = new Fixture(new Api.Settings(
                 0,
                 0,
-                ok.classes(),
+                valid.classes(),
                 List.of(),
-                ok.weights(),
-                ok.fetching(),
+                valid.weights(),
+                valid.fetching(),
                 -1,
                 0,
                 1,
                 new Api.Limits(1, false, false, false, 0, 0),
                 new Api.Protection(0, 1, 0, 1, 0),
-                ok.prices(),
-                ok.report(),
+                valid.prices(),
+                valid.report(),
                 false));
         f.members(true, Fixture.fleet(3, 99.9));
         for (int key = 1; key < 40; key++) {
@@ -208,39 +208,39 @@
     }
 
     @Test
-    void anUnlistedOriginRefusesWhatItWouldHaveToServe() {
+    void writesAreRefusedWhileTheOriginIsNotListed() {
         Fixture f = new Fixture(Fixture.settings(Fetching.ASIDE, true, Scope.ALL, WeightMeaning.NONE));
         f.members(true, Fixture.fleet(5, 0));
         f.request(2, 78, 1.0, true);
         assertEquals(1, f.host.refused.size());
     }
 
-    /** Guards against drains never heard of, where the list must be asked for. */
+    /** Without the watch, drains would never be received where the list is delivered only on request. */
     @Test
-    void aListThatMustBeAskedForIsWatchedAndAskedForAgainAfterAFailure() {
-        Api.Settings ok = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
+    void listOnRequestIsWatchedAndRequestedAgainAfterAFailure() {
+        Api.Settings valid = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.NONE);
         Fixture f = new Fixture(new Api.Settings(
                 4,
                 0,
-                ok.classes(),
+                valid.classes(),
                 List.of(),
-                ok.weights(),
-                ok.fetching(),
+                valid.weights(),
+                valid.fetching(),
                 -1,
                 0,
                 1,
-                ok.limits(),
-                ok.protection(),
-                ok.prices(),
-                ok.report(),
+                valid.limits(),
+                valid.protection(),
+                valid.prices(),
+                valid.report(),
                 true));
         f.members(true, Fixture.fleet(3, 0));
         f.members(false, Fixture.fleet(3, 0));
-        assertEquals(1, f.host.watches);
+        assertEquals(1, f.host.watchCalls);
         f.policy.onMembersFailed(f.now);
         ScriptedHost.Timer timer = f.host.timers.get(0);
         assertTrue(timer.delay() >= 1 && timer.delay() <= 2);
         f.policy.onTimer(f.now + timer.delay(), timer.token());
-        assertEquals(2, f.host.watches);
+        assertEquals(2, f.host.watchCalls);
     }
 }
--- a/router/src/test/java/stagepier/ModuleGuardTest.java
+++ b/router/src/test/java/stagepier/ModuleGuardTest.java
@@ -12,12 +12,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Keeps the module printable and free of all but the JDK. */
+/** Limits the size of the decision module and its imports to the JDK. */
 class ModuleGuardTest {
     private static final Path SOURCES = Path.of("src/main/java/stagepier");
 
-    /** The files that {@code policy} names, the module first. */
-    private static List<String> policy() throws IOException {
+    /** Returns the files listed under {@code policy} in the deploy file, the module first. */
+    private static List<String> policyFiles() throws IOException {
         String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
         String list = deploy.lines()
                 .filter(line -> line.startsWith("policy = "))
@@ -32,7 +32,7 @@
 
     private static List<String> policyLines() throws IOException {
         List<String> lines = new ArrayList<>();
-        for (String file : policy()) {
+        for (String file : policyFiles()) {
             lines.addAll(lines(file));
         }
         return lines;
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theModuleStaysPrintable() throws IOException {
+    void moduleKeepsItsLimitsOfSize() throws IOException {
         List<String> lines = policyLines();
         long nonBlank = lines.stream().filter(l -> !l.isBlank()).count();
         assertTrue(nonBlank >= 300 && nonBlank <= 1200, nonBlank + " lines");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theModuleImportsOnlyTheJdkAndItsInterface() throws IOException {
+    void moduleImportsOnlyTheJdkAndItsInterface() throws IOException {
         for (List<String> lines : List.of(policyLines(), lines("Api.java"))) {
             for (String line : lines) {
                 if (line.startsWith("import ")) {
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void nothingStaticCanChange() throws IOException {
+    void staticFieldsAreFinal() throws IOException {
         for (String line : policyLines()) {
             String code = line.strip();
             if (code.matches("(private |public )?static .*[=;]$")
@@ -79,9 +79,9 @@
         }
     }
 
-    /** Beside the interface the package comment is the one file here that is not policy: it holds no code. */
+    /** Besides the interface, package-info is the only file here not listed as policy, so it must contain no code. */
     @Test
-    void thePackageCommentHoldsNoCode() throws IOException {
+    void packageInfoContainsNoCode() throws IOException {
         String text = String.join("\n", lines("package-info.java"));
         assertEquals(
                 "package stagepier;",
@@ -89,20 +89,20 @@
     }
 
     @Test
-    void theModuleNamesItsInterfaceAndTheDeployFileNamesTheModule() throws IOException {
+    void moduleNamesItsInterfaceAndTheDeployFileListsTheModule() throws IOException {
         assertTrue(String.join("\n", lines("RoutingPolicy.java")).contains("Api.java"));
-        List<String> homes = Stream.concat(Stream.of("Api.java", "package-info.java"), policy().stream())
+        List<String> expected = Stream.concat(Stream.of("Api.java", "package-info.java"), policyFiles().stream())
                 .sorted()
                 .toList();
-        assertEquals("RoutingPolicy.java", policy().get(0));
+        assertEquals("RoutingPolicy.java", policyFiles().get(0));
         try (Stream<Path> files = Files.list(SOURCES)) {
             assertEquals(
-                    homes,
+                    expected,
                     files.filter(Files::isRegularFile)
                             .map(file -> file.getFileName().toString())
                             .sorted()
                             .toList(),
-                    "what decides is policy");
+                    "each file of the decision module is listed as policy");
         }
     }
 }
--- a/router/src/test/java/stagepier/ProtectionTest.java
+++ b/router/src/test/java/stagepier/ProtectionTest.java
@@ -15,9 +15,9 @@
 import stagepier.Api.Scope;
 import stagepier.Api.WeightMeaning;
 
-/** What guards servers and the origin: warm-up, hot keys, crowding, the fetch gate. */
+/** Protection of servers and origin: warm-up, hot keys, load shedding and the fetch gate. */
 class ProtectionTest {
-    /** Sends to server 1 in each second, of a fleet of 6 in which it has just started. */
+    /** Returns the sends per second to server 1, which has just started in a fleet of 6. */
     private static int[] sendsToColdServer(long firstKey, int keys) {
         Fixture f = Fixture.through(6);
         for (int i = 0; i < 2000; i++) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aColdServerGetsTheShareThatItsWarmUpAllows() {
+    void coldServerGetsTheShareThatItsWarmUpAllows() {
         int[] perSecond = sendsToColdServer(1, 2000);
         int early = perSecond[0] + perSecond[1] + perSecond[2];
         int late = perSecond[21] + perSecond[22] + perSecond[23];
@@ -46,27 +46,27 @@
         assertTrue(late > 30);
     }
 
-    /** Guards against many servers that start at once leaving their keys to few warm ones for the whole warm-up. */
+    /** When many servers start at once, few warm ones must not carry their keys for the whole warm-up. */
     @Test
-    void aColdServerIsOfferedMoreThanTheLeastThatItMayHave() {
+    void coldServerIsOfferedMoreThanItsLeastCapacity() {
         int[] perSecond = sendsToColdServer(1, 2000);
         int early = perSecond[0] + perSecond[1] + perSecond[2];
         int late = perSecond[21] + perSecond[22] + perSecond[23];
         assertTrue(early >= 0.26 * late, early + " early, " + late + " late");
     }
 
-    /** Guards against a crowd on few keys: the budget counts sends, whatever the share of keys is. */
+    /** The budget counts sends, not keys, so that load on few hot keys does not exceed it. */
     @Test
-    void hotKeysDoNotBreakTheBudgetOfAColdServer() {
+    void hotKeysDoNotExceedTheBudgetOfAColdServer() {
         for (int key = 1; key < 40; key++) {
             int[] perSecond = sendsToColdServer(key, 1);
-            // 100 sends a second over 6 servers: a warm server's part is 17; factor 3 x 0.6 x share 0.25, two seconds.
+            // 100 sends per second over 6 servers: a warm one gets 17; times factor 3 x 0.6, share 0.25 and 2 s.
             assertTrue(perSecond[0] + perSecond[1] <= 24, "key " + key + ": " + perSecond[0] + "+" + perSecond[1]);
         }
     }
 
     @Test
-    void aKeyThatIsMoreThanAServersShareIsSpreadAndOthersAreNot() {
+    void onlyKeysThatExceedAServersShareAreSpread() {
         Fixture f = Fixture.through(20);
         TreeSet<Long> hot = new TreeSet<>();
         TreeSet<Long> cold = new TreeSet<>();
@@ -82,43 +82,44 @@
         assertTrue(cold.size() <= 3, cold.toString());
     }
 
-    /** Guards against jams: a server that the list tells to be crowded sheds most keys, always the same. */
+    /** A server that is overloaded according to its live weight sheds most keys, and always the same ones. */
     @Test
-    void aCrowdedServerShedsKeysByHashUntilTheHintFades() {
+    void overloadedServerShedsTheSameKeysUntilItRecovers() {
         Fixture f = live(3);
         f.warm(100);
-        f.members(false, told(3, 19));
-        double told = f.now;
+        f.members(false, membersWithHeldRequests(3, 19));
+        double reportedAt = f.now;
         List<Boolean> shed = new ArrayList<>();
         List<Boolean> again = new ArrayList<>();
         for (int key = 1; key <= 100; key++) {
-            f.now = told;
+            f.now = reportedAt;
             shed.add(f.serve(0, key) < 0);
         }
         for (int key = 1; key <= 100; key++) {
-            f.now = told;
+            f.now = reportedAt;
             again.add(f.serve(0, key) < 0);
         }
         long count = shed.stream().filter(b -> b).count();
         assertTrue(count > 75 && count < 100, "shed " + count);
         assertEquals(shed, again);
-        f.now = told + 40;
+        f.now = reportedAt + 40;
         assertEquals(true, f.serve(0, 1 + shed.indexOf(true)) > 0);
     }
 
     /**
-     * Guards against driving a slow origin to a stop: fetches are shed, known keys and writes are not. Guards also against a
-     * process that has just started and knows no key shedding reads that would be hits.
+     * Likely fetches are shed so that a slow origin is not overloaded further; known keys and writes are not shed. A
+     * process that has just started and knows no key must not shed reads that would be hits: unknown keys are shed in
+     * proportion to the miss rate.
      */
     @Test
-    void whileFetchesFailUnknownKeysAreShedAsOftenAsTheyWereMisses() {
+    void whileFetchesFailUnknownKeysAreShedInProportionToTheMissRate() {
         int most = refusedOfUnknownKeys(1);
         int few = refusedOfUnknownKeys(10);
-        assertTrue(most > 50, most + " of 100 refused where all were misses");
-        assertTrue(few < 25, few + " of 100 refused where one in ten was a miss");
+        assertTrue(most > 50, most + " of 100 refused when all reads were misses");
+        assertTrue(few < 25, few + " of 100 refused when one read in ten was a miss");
     }
 
-    /** One in so many reads is a miss, and all misses end in an error. */
+    /** Returns the refusals in 100 reads after 400; one in {@code missesOneIn} reads is a miss and ends in an error. */
     private static int refusedOfUnknownKeys(int missesOneIn) {
         Fixture f = Fixture.through(5);
         int refused = 0;
@@ -158,7 +159,7 @@
     }
 
     @Test
-    void failingFetchesAreShedWhileHitsAndWritesGoOn() {
+    void failingFetchesAreShedWhileHitsContinue() {
         Fixture f = Fixture.aside(5);
         for (int i = 0; i < 60; i++) {
             long id = f.request(0, 10_000 + i);
@@ -192,7 +193,7 @@
         }
         assertTrue(fetched < 50, "fetched " + fetched);
         assertTrue(f.serve(0, 1) > 0);
-        // Nearly shut it sees too few fetches to learn that the trouble is over: it opens with time as well.
+        // A nearly shut gate passes too few fetches to detect the recovery, so it also opens with time.
         f.now += 30;
         for (int i = 0; i < 20; i++) {
             long id = f.request(0, 30_000 + i);
@@ -204,7 +205,7 @@
         }
     }
 
-    /** Requests of tenant 0 that are refused out of 400, where tenants ask for as much of the requests as told. */
+    /** Returns how many of 400 requests of tenant 0 are refused when it sends {@code partsOfTen} tenths of the load. */
     private static int refusedOfFirstTenant(int partsOfTen) {
         Api.Settings base = Fixture.settings(Fetching.THROUGH, true, Scope.ALL, WeightMeaning.LIVE);
         Fixture f = new Fixture(new Api.Settings(
@@ -225,11 +226,11 @@
         f.members(true, Fixture.fleet(3, 0));
         long id = 1;
         int refused = 0;
-        int asked = 0;
-        for (int i = 0; asked < 400; i++) {
+        int requests = 0;
+        for (int i = 0; requests < 400; i++) {
             if (i == 100) {
-                // Held requests that wait for 0.17 of the aim: a little too many.
-                f.members(false, told(3, 2.7));
+                // Held requests that wait for 0.17 of the target: a slight overload.
+                f.members(false, membersWithHeldRequests(3, 2.7));
             }
             f.now += 0.001;
             int tenant = i % 10 < partsOfTen ? 0 : 1;
@@ -240,21 +241,21 @@
             } else if (tenant == 0) {
                 refused++;
             }
-            asked += tenant == 0 ? 1 : 0;
+            requests += tenant == 0 ? 1 : 0;
             id++;
         }
         return refused;
     }
 
-    /** Guards against one tenant crowding the others out. */
+    /** One tenant must not displace the requests of the others. */
     @Test
-    void whatExceedsATenantsShareGivesWayFirst() {
+    void requestsBeyondATenantsShareAreShedFirst() {
         int withinShare = refusedOfFirstTenant(5);
         int beyondShare = refusedOfFirstTenant(9);
         assertTrue(beyondShare > 2 * Math.max(1, withinShare), beyondShare + " against " + withinShare);
     }
 
-    private static List<Member> told(int servers, double heldPerCore) {
+    private static List<Member> membersWithHeldRequests(int servers, double heldPerCore) {
         List<Member> members = new ArrayList<>();
         for (Member m : Fixture.fleet(servers, 0)) {
             members.add(new Member(m.id(), 0, 0, 0, MemberState.READY, 1 / (1 + heldPerCore), 0));
@@ -262,7 +263,7 @@
         return members;
     }
 
-    /** Of 200 keys asked for at this moment, how many are refused. */
+    /** Returns how many of 200 keys requested at this moment are refused. */
     private static int refused(Fixture f) {
         double at = f.now;
         int refused = 0;
@@ -280,38 +281,38 @@
         return f;
     }
 
-    /** Guards against balancers that all come back at the first idle weight, and choked servers that never rest. */
+    /** If all routers returned at the first idle weight, the server would be overloaded again and never recover. */
     @Test
-    void aServerThatWasJammedRestsAndGetsItsKeysBackLittleByLittle() {
+    void heavilyOverloadedServerRestsAndRegainsItsKeysGradually() {
         Fixture f = live(3);
         f.warm(30);
-        f.members(false, told(3, 40));
+        f.members(false, membersWithHeldRequests(3, 40));
         assertTrue(refused(f) > 180);
         f.now += 1.5;
-        f.members(false, told(3, 0));
-        assertTrue(refused(f) > 180, "one idle weight is no end of the jam");
+        f.members(false, membersWithHeldRequests(3, 0));
+        assertTrue(refused(f) > 180, "one idle weight does not end the overload");
         f.now += 4.5;
         int half = refused(f);
-        assertTrue(half > 50 && half < 150, "back by half: " + half + " refused");
+        assertTrue(half > 50 && half < 150, "about half of the keys are back: " + half + " refused");
         f.now += 5;
         assertEquals(0, refused(f));
     }
 
     @Test
-    void aServerThatWasALittleCrowdedHasItsKeysBackSoon() {
+    void slightlyOverloadedServerRegainsItsKeysSoon() {
         Fixture f = live(3);
         f.warm(30);
-        f.members(false, told(3, 3));
+        f.members(false, membersWithHeldRequests(3, 3));
         int few = refused(f);
         assertTrue(few > 40 && few < 120, "refused " + few);
-        f.members(false, told(3, 0));
+        f.members(false, membersWithHeldRequests(3, 0));
         f.now += 2.5;
         assertEquals(0, refused(f));
     }
 
-    /** Guards against a fleet that jams before a balancer has seen much: idle servers must not look crowded. */
+    /** Idle servers must not look overloaded if the fleet was overloaded before the router had seen many answers. */
     @Test
-    void theUnhurriedTimeIsKnownAfterFewAnswers() {
+    void unloadedTimeIsKnownAfterFewAnswers() {
         Fixture f = live(3);
         f.warm(10);
         for (int i = 0; i < 20; i++) {
@@ -320,13 +321,13 @@
             f.outcome(id, 0, f.host.last().server(), Outcome.OK, 0.3);
         }
         f.now += 60;
-        f.members(false, told(3, 2));
+        f.members(false, membersWithHeldRequests(3, 2));
         assertEquals(0, refused(f));
     }
 
-    /** Guards against a fleet that is jammed from the first answer on: hints of the work tell the difference. */
+    /** Cost hints give the unloaded time of a fleet that is overloaded from the first answer on. */
     @Test
-    void hintsOfTheWorkTellTheUnhurriedTime() {
+    void costHintsGiveTheUnloadedTime() {
         for (double hint : new double[] {0, 0.05}) {
             Fixture f = live(3);
             for (int i = 0; i < 20; i++) {
@@ -337,13 +338,13 @@
                 }
             }
             f.now += 60;
-            f.members(false, told(3, 2));
+            f.members(false, membersWithHeldRequests(3, 2));
             int refused = refused(f);
             assertTrue(hint > 0 ? refused < 10 : refused > 100, "hint " + hint + ": refused " + refused);
         }
     }
 
-    /** Reads of 40 keys asked for after 20 that took so long, at a fleet of 400 servers: how many are refused. */
+    /** Returns how many of 40 reads are refused after 20 reads that took {@code elapsed} seconds each. */
     private static int refusedAfter(Fixture f, double elapsed) {
         f.warm(10);
         for (int i = 0; i < 20; i++) {
@@ -362,18 +363,18 @@
         return refused;
     }
 
-    /** Guards against a jam that all servers are in: a balancer seldom calls the same one twice. */
+    /** When all servers are overloaded, own answers are not enough: a router seldom uses the same server twice. */
     @Test
-    void aJamThatAllServersAreInIsShedByThoseNotCalledYet() {
+    void overloadOfTheWholeFleetAppliesToServersNotYetUsed() {
         assertTrue(refusedAfter(Fixture.aside(400), 0.45) > 20);
         assertEquals(0, refusedAfter(Fixture.aside(400), 0.06));
-        // Where servers fetch, the common wait may be the origin's, and known keys would suffer for it.
+        // Where servers fetch misses, the common wait may be the origin's; hits must not be shed for it.
         assertEquals(0, refusedAfter(Fixture.through(400), 0.45));
     }
 
-    /** Guards against refusing the keys of a server that is slow while others are idle: they are spilled. */
+    /** Keys of a slow server go to others that are idle, rather than being refused. */
     @Test
-    void theKeysOfAFewSlowServersAreSpilledAndNotRefused() {
+    void keysOfAFewSlowServersGoToOthersAndAreNotRefused() {
         Fixture f = Fixture.through(6);
         f.warm(60);
         int refused = 0;
@@ -392,12 +393,12 @@
             f.policy.onOutcome(f.now, id, 0, server, Outcome.OK, took, true, Lookup.HIT, Fixture.NO_REPORT);
         }
         assertEquals(0, refused);
-        assertTrue(slow < 20, "of about 50 keys owned, sent " + slow);
+        assertTrue(slow < 20, "sent to the slow server, of about 50 keys owned: " + slow);
     }
 
-    /** Guards against full servers that look quick: 'full' is answered at once. */
+    /** Full servers must not look fast because they answer 'full' immediately. */
     @Test
-    void aServerThatSaysFullShedsItsKeys() {
+    void serverThatAnswersFullShedsItsKeys() {
         Fixture f = Fixture.through(3);
         f.warm(60);
         int sentToFull = 0;
@@ -413,12 +414,12 @@
                 }
             }
         }
-        assertTrue(sentToFull < 30, "of about 67 keys owned, sent " + sentToFull);
+        assertTrue(sentToFull < 30, "sent to the full server, of about 67 keys owned: " + sentToFull);
     }
 
-    /** Guards against taking a slow origin for slow caches: answers known to be misses are no sign of a crowd. */
+    /** Answers known to be misses are slow because of the origin, and are no sign of an overloaded server. */
     @Test
-    void slowMissesDoNotMakeAServerCrowded() {
+    void slowMissesDoNotMarkAServerAsOverloaded() {
         Fixture f = Fixture.through(4);
         f.warm(60);
         int refused = 0;
--- a/router/src/test/java/stagepier/RandomStreamTest.java
+++ b/router/src/test/java/stagepier/RandomStreamTest.java
@@ -21,16 +21,16 @@
 import stagepier.Api.Scope;
 import stagepier.Api.WeightMeaning;
 
-/** Long random but legal streams of events, under which the rules must hold whatever happens. */
+/** Sends long random but valid streams of events, under which the rules must always hold. */
 class RandomStreamTest {
     private static final int STEPS = 20_000;
 
-    /** A host that checks the rules at every action. */
+    /** Host that checks the rules at every action. */
     private static final class Checker implements Api.Host {
         private final Api.Settings settings;
-        private final Map<Long, Live> live = new TreeMap<>();
+        private final Map<Long, LiveRequest> liveRequests = new TreeMap<>();
         private final Map<Long, MemberState> states = new HashMap<>();
-        private final List<Attempt> out = new ArrayList<>();
+        private final List<Attempt> inFlight = new ArrayList<>();
         private final List<long[]> timers = new ArrayList<>();
         private final Map<Long, Integer> answers = new HashMap<>();
         private final StringBuilder log = new StringBuilder();
@@ -49,16 +49,16 @@
                     .append(' ')
                     .append(timeout)
                     .append('\n');
-            Live r = live.get(request);
-            assertTrue(r != null && !r.ended, "a send after the end");
-            assertEquals(MemberState.READY, states.get(server), "a send to a server that drains or is gone");
+            LiveRequest r = liveRequests.get(request);
+            assertTrue(r != null && !r.ended, "request sent after its end");
+            assertEquals(MemberState.READY, states.get(server), "request sent to a draining or gone server");
             Repeat repeat = settings.classes().get(r.request.classIndex()).repeat();
             if (!settings.limits().concurrentAttempts()) {
-                assertTrue(r.attempts.stream().allMatch(a -> a.outcome != null), "two attempts out");
+                assertTrue(r.attempts.stream().allMatch(a -> a.outcome != null), "two concurrent attempts");
             }
             List<Attempt> mayHaveRun = r.mayHaveRun();
             if (!mayHaveRun.isEmpty()) {
-                assertFalse(repeat == Repeat.UNSAFE, "an effect twice");
+                assertFalse(repeat == Repeat.UNSAFE, "unsafe request may run twice");
                 if (repeat == Repeat.KEYED) {
                     assertTrue(now
                             <= mayHaveRun.get(0).sentAt
@@ -71,26 +71,26 @@
             Attempt a = new Attempt(r, server, r.attempts.size(), now, Math.min(r.deadline, now + timeout));
             r.attempts.add(a);
             assertTrue(r.attempts.size() <= settings.limits().maxAttempts());
-            out.add(a);
+            inFlight.add(a);
         }
 
         @Override
         public void cancel(long request, int attempt) {
             log.append("c ").append(request).append(' ').append(attempt).append('\n');
             assertTrue(settings.limits().cancel());
-            assertTrue(attempt < live.get(request).attempts.size());
+            assertTrue(attempt < liveRequests.get(request).attempts.size());
         }
 
         @Override
         public void refuse(long request, double retryAfter) {
             log.append("r ").append(request).append(' ').append(retryAfter).append('\n');
-            Live r = live.get(request);
+            LiveRequest r = liveRequests.get(request);
             Api.RequestClass c = settings.classes().get(r.request.classIndex());
             assertTrue(
                     r.mayHaveRun().isEmpty()
                             || c.repeat() == Repeat.SAFE
                             || c.repeat() == Repeat.KEYED && c.dedupScope() == Scope.ALL,
-                    "a refusal that promises too much");
+                    "refused although a retry may not be safe");
             answer(request);
         }
 
@@ -101,9 +101,9 @@
         }
 
         private void answer(long request) {
-            Live r = live.get(request);
-            assertFalse(r.ended, "a second answer");
-            assertTrue(now <= r.deadline + 1e-9, "an answer after the client's time");
+            LiveRequest r = liveRequests.get(request);
+            assertFalse(r.ended, "second final answer");
+            assertTrue(now <= r.deadline + 1e-9, "answer after the client's deadline");
             r.ended = true;
             answers.merge(request, 1, Integer::sum);
         }
@@ -117,7 +117,7 @@
 
         @Override
         public void probe(long server) {
-            throw new AssertionError("probes are not allowed here");
+            throw new AssertionError("probe sent although the settings forbid probes");
         }
 
         @Override
@@ -127,7 +127,7 @@
 
         @Override
         public void watchMembers() {
-            throw new AssertionError("the list comes unasked here");
+            throw new AssertionError("list requested although changes are always delivered");
         }
 
         @Override
@@ -136,13 +136,13 @@
         }
     }
 
-    private static final class Live {
+    private static final class LiveRequest {
         private final Api.Request request;
         private final double deadline;
         private final List<Attempt> attempts = new ArrayList<>();
         private boolean ended;
 
-        Live(Api.Request request, double deadline) {
+        LiveRequest(Api.Request request, double deadline) {
             this.request = request;
             this.deadline = deadline;
         }
@@ -155,14 +155,14 @@
     }
 
     private static final class Attempt {
-        private final Live request;
+        private final LiveRequest request;
         private final long server;
         private final int index;
         private final double sentAt;
         private final double timeoutAt;
         private Outcome outcome;
 
-        Attempt(Live request, long server, int index, double sentAt, double timeoutAt) {
+        Attempt(LiveRequest request, long server, int index, double sentAt, double timeoutAt) {
             this.request = request;
             this.server = server;
             this.index = index;
@@ -171,8 +171,8 @@
         }
     }
 
-    /** Another instance's life, played between the events of the first. */
-    private static final class Player {
+    /** Drives one module instance with a random stream of events. */
+    private static final class Driver {
         private final Api.Settings settings;
         private final Checker checker;
         private final RoutingPolicy policy;
@@ -180,7 +180,7 @@
         private long nextId = 1;
         private double now = 50;
 
-        Player(Api.Settings settings, long seed) {
+        Driver(Api.Settings settings, long seed) {
             this.settings = settings;
             checker = new Checker(settings);
             policy = new RoutingPolicy(settings, seed, checker);
@@ -196,34 +196,34 @@
         void step() {
             now += random.nextDouble() * 0.01;
             checker.now = now;
-            dueTimeouts();
-            dueTimers();
-            int dice = random.nextInt(100);
-            if (dice < 45) {
+            expireAttempts();
+            fireTimers();
+            int choice = random.nextInt(100);
+            if (choice < 45) {
                 request();
-            } else if (dice < 97) {
-                if (!checker.out.isEmpty()) {
-                    end(checker.out.get(random.nextInt(checker.out.size())), anyOutcome());
+            } else if (choice < 97) {
+                if (!checker.inFlight.isEmpty()) {
+                    endAttempt(checker.inFlight.get(random.nextInt(checker.inFlight.size())), randomOutcome());
                 }
-            } else if (dice < 98) {
-                change();
+            } else if (choice < 98) {
+                changeMember();
             } else {
-                leave();
+                disconnectClient();
             }
         }
 
-        private void dueTimeouts() {
-            for (Attempt a : new ArrayList<>(checker.out)) {
-                if (a.timeoutAt <= now && checker.out.contains(a)) {
-                    double later = now;
+        private void expireAttempts() {
+            for (Attempt a : new ArrayList<>(checker.inFlight)) {
+                if (a.timeoutAt <= now && checker.inFlight.contains(a)) {
+                    double actualNow = now;
                     now = checker.now = Math.min(now, a.timeoutAt);
-                    end(a, Outcome.TIMEOUT);
-                    now = checker.now = later;
+                    endAttempt(a, Outcome.TIMEOUT);
+                    now = checker.now = actualNow;
                 }
             }
         }
 
-        private void dueTimers() {
+        private void fireTimers() {
             for (long[] t : new ArrayList<>(checker.timers)) {
                 if (Double.longBitsToDouble(t[0]) <= now) {
                     checker.timers.remove(t);
@@ -237,11 +237,11 @@
             double budget = 0.2 + random.nextDouble() * 0.8;
             Api.Request r =
                     new Api.Request(nextId++, classIndex, 0, 1 + random.nextInt(60), budget, 0, false, classIndex > 0);
-            checker.live.put(r.id(), new Live(r, now + budget));
+            checker.liveRequests.put(r.id(), new LiveRequest(r, now + budget));
             policy.onRequest(now, r);
         }
 
-        private Outcome anyOutcome() {
+        private Outcome randomOutcome() {
             Outcome[] all = {
                 Outcome.OK,
                 Outcome.OK,
@@ -255,12 +255,12 @@
             return all[random.nextInt(all.length)];
         }
 
-        private void end(Attempt a, Outcome outcome) {
+        private void endAttempt(Attempt a, Outcome outcome) {
             boolean miss = outcome == Outcome.MISS;
             if (miss && (settings.fetching() != Fetching.ASIDE || a.server == Fixture.ORIGIN)) {
                 outcome = Outcome.OK;
             }
-            checker.out.remove(a);
+            checker.inFlight.remove(a);
             a.outcome = outcome;
             boolean finished = a.request.ended || outcome == Outcome.OK;
             if (outcome == Outcome.OK && !a.request.ended) {
@@ -279,15 +279,15 @@
                     Fixture.NO_REPORT);
         }
 
-        private void change() {
+        private void changeMember() {
             long id = 1 + random.nextInt(12);
             MemberState state = MemberState.values()[random.nextInt(3)];
             checker.states.put(id, state);
             policy.onMembers(now, false, List.of(Fixture.member(id, state, random.nextBoolean() ? 0 : now - 1)));
         }
 
-        private void leave() {
-            for (Live r : checker.live.values()) {
+        private void disconnectClient() {
+            for (LiveRequest r : checker.liveRequests.values()) {
                 if (!r.ended) {
                     r.ended = true;
                     checker.answers.merge(r.request.id(), 1, Integer::sum);
@@ -298,11 +298,11 @@
         }
 
         void finish() {
-            while (!checker.out.isEmpty()) {
+            while (!checker.inFlight.isEmpty()) {
                 now += 0.05;
                 checker.now = now;
-                dueTimeouts();
-                dueTimers();
+                expireAttempts();
+                fireTimers();
             }
             for (long id = 1; id < nextId; id++) {
                 assertEquals(1, checker.answers.getOrDefault(id, 0), "answers to request " + id);
@@ -312,22 +312,22 @@
 
     @ParameterizedTest
     @CsvSource({"THROUGH,true,ALL", "THROUGH,false,ZONE", "ASIDE,true,ALL", "ASIDE,false,ZONE"})
-    void theRulesHoldAndInstancesActAlikeTogetherOrAlone(Fetching fetching, boolean concurrent, Scope scope) {
+    void rulesHoldAndInstancesAreIndependent(Fetching fetching, boolean concurrent, Scope scope) {
         Api.Settings settings = Fixture.settings(fetching, concurrent, scope, WeightMeaning.NONE);
-        Player first = new Player(settings, 7);
-        Player second = new Player(settings, 8);
+        Driver first = new Driver(settings, 7);
+        Driver second = new Driver(settings, 8);
         for (int i = 0; i < STEPS; i++) {
             first.step();
             second.step();
         }
         first.finish();
         second.finish();
-        Player alone = new Player(settings, 7);
+        Driver alone = new Driver(settings, 7);
         for (int i = 0; i < STEPS; i++) {
             alone.step();
         }
         alone.finish();
         assertEquals(first.checker.log.toString(), alone.checker.log.toString());
-        assertTrue(first.checker.log.length() > STEPS, "the stream did something");
+        assertTrue(first.checker.log.length() > STEPS, "the streams caused fewer actions than expected");
     }
 }
--- a/router/src/test/java/stagepier/RepeatRulesTest.java
+++ b/router/src/test/java/stagepier/RepeatRulesTest.java
@@ -14,7 +14,7 @@
 import stagepier.Api.Scope;
 import stagepier.Api.WeightMeaning;
 
-/** Outcome of the first attempt x class -> may another attempt follow, and how does a request end without one. */
+/** Whether another attempt may follow the first, by outcome and class, and how a request ends without one. */
 class RepeatRulesTest {
     @ParameterizedTest
     @CsvSource({
@@ -22,50 +22,50 @@
         "1,ERROR,true", "1,FULL,true", "1,TIMEOUT,true", "1,CONNECT_FAILED,true", "1,RESET,true",
         "2,ERROR,false", "2,FULL,true", "2,TIMEOUT,false", "2,CONNECT_FAILED,true", "2,RESET,false"
     })
-    void furtherAttempts(int classIndex, Outcome outcome, boolean allowed) {
-        assertEquals(allowed, Fixture.through(6).followsAfter(classIndex, outcome));
+    void outcomeAndClassDecideWhetherAnotherAttemptFollows(int classIndex, Outcome outcome, boolean allowed) {
+        assertEquals(allowed, Fixture.through(6).retriesAfter(classIndex, outcome));
     }
 
     @ParameterizedTest
     @CsvSource({"ERROR", "TIMEOUT", "RESET"})
-    void anUnsafeRequestThatMayHaveRunFailsAndIsNeverRefused(Outcome outcome) {
+    void unsafeRequestThatMayHaveRunFailsAndIsNotRefused(Outcome outcome) {
         Fixture f = Fixture.through(6);
-        f.followsAfter(2, outcome);
+        f.retriesAfter(2, outcome);
         assertEquals(1, f.host.failed.size());
         assertEquals(0, f.host.refused.size());
     }
 
-    /** Guards against a repeat that its host holds up until its window is over. */
+    /** The host may queue a retry; it must not be sent after the deduplication window has ended. */
     @Test
-    void aKeyedRepeatHasToBeginWithinWhatIsLeftOfItsWindow() {
+    void keyedRetryMustStartWithinTheRemainingDedupWindow() {
         Fixture f = Fixture.through(6);
         long id = f.request(1, 77);
         f.now += 0.1;
         f.outcome(id, 0, f.host.last().server(), Outcome.CONNECT_FAILED, 0.1);
         f.now += 0.1;
         f.outcome(id, 1, f.host.last().server(), Outcome.RESET, 0.1);
-        List<Double> within = f.host.startWithins;
+        List<Double> within = f.host.startLimits;
         assertEquals(3, within.size());
         assertEquals(List.of(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY), within.subList(0, 2));
-        assertEquals(0.3, within.get(2), 1e-9, "counted from the first that may have run");
+        assertEquals(0.3, within.get(2), 1e-9, "counted from the first attempt that may have run");
     }
 
     @Test
-    void aKeyedRequestIsNotSentAgainOnceItsWindowIsOver() {
+    void keyedRequestIsNotSentAgainAfterItsDedupWindow() {
         Fixture f = Fixture.through(6);
         long id = f.request(1, 77);
         f.now += 0.41;
         f.outcome(id, 0, f.host.last().server(), Outcome.TIMEOUT, 0.41);
         assertEquals(1, f.host.sends.size());
-        assertEquals(1, f.host.refused.size(), "every server drops a repeat, so asking again does no harm");
+        assertEquals(1, f.host.refused.size(), "every server drops repeats, so the client may safely retry");
     }
 
     @Test
-    void aKeyedRequestStaysInItsGroupAndFailsWhereItsGroupIsNotAll() {
+    void keyedRequestStaysInItsDedupGroupAndIsNeverRefusedThere() {
         for (Scope scope : List.of(Scope.ZONE, Scope.CELL)) {
             Fixture f = new Fixture(Fixture.settings(Fetching.THROUGH, true, scope, WeightMeaning.NONE));
             f.members(true, Fixture.fleet(30, 0));
-            int followed = 0;
+            int retried = 0;
             for (long key = 1; key < 60; key++) {
                 long id = f.request(1, key);
                 long first = f.host.last().server();
@@ -73,21 +73,21 @@
                 f.now += 0.1;
                 f.outcome(id, 0, first, Outcome.RESET, 0.1);
                 if (f.host.sends.size() > sends) {
-                    followed++;
+                    retried++;
                     long second = f.host.last().server();
-                    int groups = scope == Scope.ZONE ? 3 : 5;
-                    assertEquals(first % groups, second % groups);
+                    int groupCount = scope == Scope.ZONE ? 3 : 5;
+                    assertEquals(first % groupCount, second % groupCount);
                     f.outcome(id, 1, second, Outcome.OK, 0.01);
                 }
             }
-            assertTrue(followed > 0);
-            assertTrue(f.host.failed.size() > 0 || followed == 59);
+            assertTrue(retried > 0);
+            assertTrue(f.host.failed.size() > 0 || retried == 59);
             assertEquals(0, f.host.refused.size());
         }
     }
 
     @Test
-    void noTwoAttemptsAreOutWhereThatIsForbidden() {
+    void noHedgingWhereConcurrentAttemptsAreForbidden() {
         Fixture f = new Fixture(Fixture.settings(Fetching.THROUGH, false, Scope.ALL, WeightMeaning.NONE));
         f.members(true, Fixture.fleet(6, 0));
         f.warm(60);
@@ -101,8 +101,8 @@
     void attemptsAreLimitedAndUseDifferentServers() {
         Fixture f = Fixture.through(8);
         long id = f.request(0, 77);
-        for (int attempt = 0; f.host.answers() == 0; attempt++) {
-            assertTrue(attempt < 4, "at most four attempts");
+        for (int attempt = 0; f.host.finalAnswers() == 0; attempt++) {
+            assertTrue(attempt < 4, "more than four attempts");
             f.now += 0.01;
             f.outcome(id, attempt, f.host.last().server(), Outcome.FULL, 0.01);
         }
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void nothingFollowsTheEnd() {
+    void nothingIsSentAfterTheClientIsGone() {
         Fixture f = Fixture.through(6);
         long id = f.request(0, 77);
         long server = f.host.last().server();
@@ -123,11 +123,11 @@
         f.policy.onOutcome(f.now, id, 0, server, Outcome.TIMEOUT, 0.2, true, Lookup.UNKNOWN, Fixture.NO_REPORT);
         f.policy.onTimer(f.now, id);
         assertEquals(1, f.host.sends.size());
-        assertEquals(0, f.host.answers());
+        assertEquals(0, f.host.finalAnswers());
     }
 
     @Test
-    void aRequestWithoutTimeLeftIsRefusedAtOnce() {
+    void requestWithoutTimeLeftIsRefusedImmediately() {
         Fixture f = Fixture.through(6);
         f.request(0, 77, 0, false);
         assertEquals(1, f.host.refused.size());
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void aStreamThatHasBegunGetsNoCopy() {
+    void streamedAnswerThatHasBegunIsNotHedged() {
         Fixture f = Fixture.through(6);
         f.warm(60);
         long id = f.request(0, 500);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aLateAttemptGetsACopyAndTheWinnersOutcomeCancelsTheLoser() {
+    void lateAttemptIsHedgedAndTheLoserIsCancelled() {
         Fixture f = Fixture.through(6);
         f.warm(60);
         long id = f.request(0, 500);
--- a/router/src/test/java/stagepier/ScriptedHost.java
+++ b/router/src/test/java/stagepier/ScriptedHost.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.LongFunction;
 
-/** A host that writes down every action, for tests that drive a RoutingPolicy through its interface. */
+/** A host that records every action, for tests that drive a RoutingPolicy through its interface. */
 final class ScriptedHost implements Api.Host {
     record Sent(long request, long server, double timeout) {}
 
@@ -16,17 +16,17 @@
     final List<Double> retryAfters = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<Long> cancelled = new ArrayList<>();
-    /** For each send, within how many seconds it has to begin. */
-    final List<Double> startWithins = new ArrayList<>();
+    /** For each send, the seconds within which it has to start. */
+    final List<Double> startLimits = new ArrayList<>();
 
-    int watches;
-    int closes;
-    /** What was told to other balancers, each time. */
-    final List<List<Api.ServerReport>> told = new ArrayList<>();
-    /** What others report. */
-    LongFunction<Api.PeerTotals> others = Api.PeerTotals::none;
+    int watchCalls;
+    int closeIdleCalls;
+    /** Reports sent to other routers, one list per call. */
+    final List<List<Api.ServerReport>> peerReports = new ArrayList<>();
+    /** Totals that peers report of each server. */
+    LongFunction<Api.PeerTotals> peerTotals = Api.PeerTotals::none;
 
-    double othersWeight = 1;
+    double peerWeight = 1;
     final StringBuilder log = new StringBuilder();
 
     @Override
@@ -43,7 +43,7 @@
 
     @Override
     public void send(long request, long server, double timeout, double startWithin) {
-        startWithins.add(startWithin);
+        startLimits.add(startWithin);
         send(request, server, timeout);
     }
 
@@ -74,33 +74,33 @@
 
     @Override
     public void probe(long server) {
-        throw new AssertionError("no probe was allowed");
+        throw new AssertionError("probe sent although the settings forbid probes");
     }
 
     @Override
     public void closeIdle(long server) {
-        closes++;
+        closeIdleCalls++;
         log.append("close ").append(server).append('\n');
     }
 
     @Override
     public void watchMembers() {
-        watches++;
+        watchCalls++;
     }
 
     @Override
-    public void reportToPeers(List<Api.ServerReport> news) {
-        told.add(news);
+    public void reportToPeers(List<Api.ServerReport> reports) {
+        peerReports.add(reports);
     }
 
     @Override
     public Api.PeerTotals peerTotals(long server) {
-        return others.apply(server);
+        return peerTotals.apply(server);
     }
 
     @Override
     public double peerWeight() {
-        return othersWeight;
+        return peerWeight;
     }
 
     @Override
@@ -112,7 +112,7 @@
         return sends.get(sends.size() - 1);
     }
 
-    int answers() {
+    int finalAnswers() {
         return refused.size() + failed.size();
     }
 }
--- a/router/src/test/java/stagepier/StaticStateTest.java
+++ b/router/src/test/java/stagepier/StaticStateTest.java
@@ -23,21 +23,21 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 
-/** Guards against state that two deployments in one process would share: whatever is static never changes. */
+/** Two deployments in one process must share no mutable state, so static fields must be immutable. */
 class StaticStateTest {
     private static final Path SOURCES = Path.of("src/main/java");
 
     @Test
-    void whateverIsStaticNeverChanges() throws Exception {
+    void staticFieldsHoldImmutableState() throws Exception {
         List<String> faults = new ArrayList<>();
-        int seen = 0;
+        int checkedFields = 0;
         for (JavaClass c : new ClassFileImporter()
                 .withImportOption(new DoNotIncludeTests())
                 .importPackages("stagepier")) {
             for (Field field : Class.forName(c.getName()).getDeclaredFields()) {
-                // What the compiler adds, such as the table of a switch over an enum, is filled once.
+                // Fields added by the compiler, such as the table of a switch over an enum, are filled once.
                 if (Modifier.isStatic(field.getModifiers()) && !field.isSynthetic()) {
-                    seen++;
+                    checkedFields++;
                     field.setAccessible(true);
                     String fault = fault(field, field.get(null));
                     if (fault != null) {
@@ -47,7 +47,7 @@
             }
         }
         assertEquals(List.of(), faults);
-        assertTrue(seen > 100, "only " + seen + " were seen");
+        assertTrue(checkedFields > 100, "fields checked: " + checkedFields);
     }
 
     private static String fault(Field field, Object value) throws Exception {
@@ -57,11 +57,11 @@
         if (value != null && value.getClass().isArray()) {
             return isWritten(field) ? "is an array that is written to" : null;
         }
-        return isFixed(value) ? null : "may change: " + value.getClass().getName();
+        return isImmutable(value) ? null : "may change: " + value.getClass().getName();
     }
 
-    /** Whether nothing that can be reached from a value ever changes. */
-    private static boolean isFixed(Object value) throws Exception {
+    /** Returns whether a value and everything reachable from it is immutable. */
+    private static boolean isImmutable(Object value) throws Exception {
         if (value == null
                 || value instanceof Number && value.getClass().getPackageName().equals("java.lang")
                 || value instanceof String
@@ -74,7 +74,7 @@
                 || value instanceof Logger) {
             return true;
         }
-        // Thread-safe and without a setter; and a zone that is only given to a parser, which copies it.
+        // Gson is thread-safe and has no setter; the time zone is only passed to a parser, which copies it.
         if (value instanceof com.google.gson.Gson || value instanceof TimeZone) {
             return true;
         }
@@ -82,22 +82,22 @@
             return isUnmodifiable(value);
         }
         if (!value.getClass().isRecord()) {
-            return holdsNothing(value.getClass());
+            return hasNoInstanceFields(value.getClass());
         }
         for (RecordComponent component : value.getClass().getRecordComponents()) {
             component.getAccessor().setAccessible(true);
             Object part = component.getAccessor().invoke(value);
-            // An empty array has nothing to write to.
+            // An empty array has no elements to write.
             boolean empty = part != null && part.getClass().isArray() && java.lang.reflect.Array.getLength(part) == 0;
-            if (!empty && !isFixed(part)) {
+            if (!empty && !isImmutable(part)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A null object, or a lambda that captures nothing. */
-    private static boolean holdsNothing(Class<?> type) {
+    /** Returns true for a stateless object or a lambda that captures nothing. */
+    private static boolean hasNoInstanceFields(Class<?> type) {
         for (Class<?> c = type; c != Object.class; c = c.getSuperclass()) {
             for (Field field : c.getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
@@ -116,7 +116,7 @@
                 || value == Collections.emptyMap();
     }
 
-    /** By the text, for no rule on types tells an array that is read from one that is written. */
+    /** Searches the source text, since types do not distinguish arrays that are read from arrays that are written. */
     private static boolean isWritten(Field field) throws Exception {
         Class<?> outer = field.getDeclaringClass();
         while (outer.getEnclosingClass() != null) {
