--- a/router/src/main/java/stagepier/app/Config.java
+++ b/router/src/main/java/stagepier/app/Config.java
@@ -17,15 +17,15 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * What a router is told at its start.
+ * The configuration with which a router starts.
  *
- * @param known   the list of cache servers as this router last had it, or null
- * @param sockets file descriptors that the process may hold
- * @param peers   where routers hear of each other, or null where they don't
- * @param console where staff call, or null where there is no console
- * @param passed  the clients' listening socket is descriptor 0, which other processes have as well
- * @param name    of this router, or ""
- * @param fleet   the file that says with whom it decides together, or ""
+ * @param known   the list of cache servers that this router had last, or null
+ * @param sockets maximum number of file descriptors of the process
+ * @param peers   addresses for reports between routers, or null if they exchange none
+ * @param console address of the operators' console, or null if there is no console
+ * @param passed  whether the clients' listening socket is inherited as descriptor 0, which other processes share
+ * @param name    name of this router, or ""
+ * @param fleet   path of the file that lists the members of the fleet, or ""
  */
 record Config(
         InetSocketAddress listen,
@@ -39,8 +39,8 @@
         boolean passed,
         String name,
         String fleet) {
-    private static final int SOCKETS_USUAL = 1024;
-    private static final int SOCKETS_LEAST = 128;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MIN_SOCKETS = 128;
 
     /** A configuration with which the program cannot start; the message is one line. */
     static final class InvalidConfigException extends Exception {
@@ -144,11 +144,11 @@
     private static int sockets(JsonObject o) {
         JsonElement limits = o.get("limits");
         if (limits == null || !limits.getAsJsonObject().has("sockets")) {
-            return SOCKETS_USUAL;
+            return DEFAULT_SOCKETS;
         }
         int sockets = limits.getAsJsonObject().get("sockets").getAsInt();
-        if (sockets < SOCKETS_LEAST) {
-            throw new IllegalArgumentException("limits.sockets is below " + SOCKETS_LEAST);
+        if (sockets < MIN_SOCKETS) {
+            throw new IllegalArgumentException("limits.sockets is below " + MIN_SOCKETS);
         }
         return sockets;
     }
--- a/router/src/main/java/stagepier/app/ConsoleOperations.java
+++ b/router/src/main/java/stagepier/app/ConsoleOperations.java
@@ -18,65 +18,69 @@
 import stagepier.freeze.Change;
 import stagepier.tasks.GuardedTask;
 
-/** Does what staff ask of the running router. On the event loop. */
+/** Executes console commands on the running router. Runs on the event loop. */
 final class ConsoleOperations implements Operations {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleOperations.class);
-    /** What another process was told is looked for so often: well inside the grace of the drain rule. */
-    private static final int LOOK_MS = 100;
+    /** Interval at which bans saved by other processes are read; well below the grace period of the drain rule. */
+    private static final int BAN_POLL_INTERVAL_MS = 100;
 
     private final Clock clock;
     private final Drain drain;
     private final HostGroup hosts;
-    private final Consumer<HostGroup.Change> changed;
-    /** Null where this router decides nothing together with others. */
+    private final Consumer<HostGroup.Change> changeListener;
+    /** Null if this router is not part of a fleet. */
     private final FleetCoordinator fleet;
-    /** Null where there is no folder to share. */
+    /** Null if there is no shared folder. */
     private final BanFiles files;
 
     ConsoleOperations(
-            Clock clock, Drain drain, HostGroup hosts, Consumer<HostGroup.Change> changed, FleetCoordinator fleet) {
+            Clock clock,
+            Drain drain,
+            HostGroup hosts,
+            Consumer<HostGroup.Change> changeListener,
+            FleetCoordinator fleet) {
         this.fleet = fleet;
         this.clock = clock;
         this.drain = drain;
         this.hosts = hosts;
-        this.changed = changed;
+        this.changeListener = changeListener;
         String shared = System.getenv("TMPDIR");
         files = shared == null || shared.isEmpty() ? null : new BanFiles(Path.of(shared));
         if (files == null) {
-            LOG.warn("TMPDIR names no folder: what staff take out is forgotten when this process ends");
+            LOG.warn("TMPDIR is not set: bans from the console are lost when this process ends");
         }
     }
 
-    /** Before the first list is applied, so that nothing is sent to who was out before this process began. */
+    /** Must run before the first list is applied, so that no request goes to a server that is already banned. */
     void start(EventLoop loop) {
         if (files != null) {
-            look();
+            readBans();
             loop.scheduleWithFixedDelay(
-                    new GuardedTask("look for bans of other processes", this::look),
-                    LOOK_MS,
-                    LOOK_MS,
+                    new GuardedTask("read bans of other processes", this::readBans),
+                    BAN_POLL_INTERVAL_MS,
+                    BAN_POLL_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void look() {
+    private void readBans() {
         report(hosts.apply(files.readChanges()));
         hosts.bans().forget(clock.now()).forEach(files::delete);
     }
 
     private void report(HostGroup.Change change) {
         if (!change.hosts().isEmpty()) {
-            changed.accept(change);
+            changeListener.accept(change);
         }
     }
 
     @Override
     public Result call(ConsoleCommand command) {
         if (command instanceof ConsoleCommand.Suspend suspend) {
-            return say(suspend.server(), true);
+            return setBanned(suspend.server(), true);
         }
         if (command instanceof ConsoleCommand.Restore restore) {
-            return say(restore.server(), false);
+            return setBanned(restore.server(), false);
         }
         if (command instanceof ConsoleCommand.Pause) {
             drain.pause(clock.now());
@@ -97,23 +101,23 @@
         };
     }
 
-    private Result say(String server, boolean out) {
+    private Result setBanned(String server, boolean banned) {
         if (!hosts.knows(server)) {
             return Result.no("no cache server " + server + " was ever listed");
         }
-        if (hosts.bans().isBanned(server) == out) {
-            return Result.yes(server + (out ? " is out already" : " is not out"));
+        if (hosts.bans().isBanned(server) == banned) {
+            return Result.yes(server + (banned ? " is out already" : " is not out"));
         }
-        String frozen = out || fleet == null
+        String frozen = banned || fleet == null
                 ? null
                 : fleet.refusal(new Change(Change.Kind.RESTORE, server, hosts.zone(server)));
         if (frozen != null) {
             return Result.no(server + " stays out: " + frozen);
         }
-        Ban ban = new Ban(server, out, hosts.bans().stamp(server, clock.now()));
-        String kept = files == null || files.save(ban) ? "" : ", but other processes are not told yet";
+        Ban ban = new Ban(server, banned, hosts.bans().stamp(server, clock.now()));
+        String saveWarning = files == null || files.save(ban) ? "" : ", but other processes are not told yet";
         report(hosts.apply(List.of(ban)));
-        return Result.yes(server + (out ? " is out" : " is back") + kept);
+        return Result.yes(server + (banned ? " is out" : " is back") + saveWarning);
     }
 
     void count(ObjLongConsumer<String> to) {
--- a/router/src/main/java/stagepier/app/FleetCoordinator.java
+++ b/router/src/main/java/stagepier/app/FleetCoordinator.java
@@ -34,41 +34,42 @@
 import stagepier.tasks.Tasks;
 
 /**
- * What this router decides together with others: owns the tasks beside the event loop, and is asked by the loop, which never waits for
- * them. Made only where {@code GW_FLEET} names a file. All that is not said otherwise is called on the event loop.
+ * Coordinates this router with the other members of its fleet. Owns the tasks that run outside of the event loop; the
+ * event loop queries their results and never waits for them. Created only if {@code GW_FLEET} names a file. Methods are
+ * called on the event loop unless stated otherwise.
  */
 final class FleetCoordinator implements TopologyGate.Holder {
     private static final Logger LOG = LoggerFactory.getLogger(FleetCoordinator.class);
-    /** By how much the lab sets this process's wall clock off, in milliseconds. */
-    private static final String OFFSET = "stagepier.clock.offset.ms";
+    /** System property by which the lab shifts the wall clock of this process, in milliseconds. */
+    private static final String CLOCK_OFFSET_PROPERTY = "stagepier.clock.offset.ms";
 
-    private static final int LOOK_MS = 100;
+    private static final int POLL_INTERVAL_MS = 100;
     private static final String BUILD =
             String.valueOf(FleetCoordinator.class.getPackage().getImplementationVersion());
 
     private final FleetConfig config;
     private final Tasks tasks;
-    private final TcpFleetRpc calls;
+    private final TcpFleetRpc rpc;
     private final History history = HistoryLog.get();
-    private final Membership view;
-    /** Null where there is no calendar. */
+    private final Membership membership;
+    /** Null if there is no freeze calendar. */
     private final FreezeService freeze;
-    /** Null where there is no calendar. */
+    /** Null if there is no freeze calendar. */
     private final HeldChanges<Runnable> held;
 
     private final long seed;
-    /** Null where there is no candidate map. */
+    /** Null if there is no candidate map. */
     private ShadowCoordinator shadow;
 
     private AgreedSequence promotions;
-    private final List<FleetService> parts = new ArrayList<>();
+    private final List<FleetService> services = new ArrayList<>();
 
-    /** @throws Config.InvalidConfigException one line: file, line, key and what is wrong */
+    /** @throws Config.InvalidConfigException with a message of one line that names the file, line, key and error */
     static FleetCoordinator read(String file, String self, long seed) throws Config.InvalidConfigException {
         try {
             FleetConfig config = FleetConfigReader.read(Path.of(file), self);
             if (config.candidate() != null) {
-                // A slip in it is told before anything starts, as those in the other files are.
+                // Validated before anything starts, as the other files are.
                 CandidateFile.read(config.candidate());
             }
             return new FleetCoordinator(config, seed);
@@ -80,13 +81,14 @@
     private FleetCoordinator(FleetConfig config, long seed) {
         this.config = config;
         this.seed = seed;
-        tasks = new LiveTasks(Clock.offset(Clock.systemUTC(), Duration.ofMillis(Long.getLong(OFFSET, 0))));
-        calls = new TcpFleetRpc(tasks, config, seed);
-        view = new Membership(tasks, calls, config, history, seed + 1);
-        parts.add(view);
-        freeze = config.calendar() == null ? null : new FreezeService(tasks, calls, config, history, seed + 2);
+        tasks = new LiveTasks(
+                Clock.offset(Clock.systemUTC(), Duration.ofMillis(Long.getLong(CLOCK_OFFSET_PROPERTY, 0))));
+        rpc = new TcpFleetRpc(tasks, config, seed);
+        membership = new Membership(tasks, rpc, config, history, seed + 1);
+        services.add(membership);
+        freeze = config.calendar() == null ? null : new FreezeService(tasks, rpc, config, history, seed + 2);
         if (freeze != null) {
-            parts.add(freeze);
+            services.add(freeze);
         }
         held = freeze == null ? null : freeze.holder();
     }
@@ -95,32 +97,32 @@
         return freeze == null ? Calendar.NONE : freeze.calendar();
     }
 
-    /** Before the start, once the router's parts are there: tries the candidate map beside the real one, where there is one. */
-    void tryCandidate(ShadowCoordinator.Own own) {
+    /** Sets up the shadow map if there is a candidate. Called before the start, once the router's components exist. */
+    void setUpShadow(ShadowCoordinator.RouterContext context) {
         if (config.candidate() == null) {
             return;
         }
-        promotions = new AgreedSequence("promotion", tasks, calls, config, history, seed + 3);
+        promotions = new AgreedSequence("promotion", tasks, rpc, config, history, seed + 3);
         shadow = new ShadowCoordinator(
-                new ShadowCoordinator.Fleet(
+                new ShadowCoordinator.FleetContext(
                         tasks,
-                        calls,
+                        rpc,
                         config,
-                        HistoryLog.STARTED,
-                        view::view,
+                        HistoryLog.INCARNATION,
+                        membership::view,
                         this::calendar,
                         ShadowCoordinator.agreement(promotions),
                         history),
-                own);
-        parts.add(shadow.part());
+                context);
+        services.add(shadow.service());
     }
 
-    /** Descriptors that clients must leave: calls to and from each other router, and links for copies. */
-    int descriptors(int sockets) {
-        return 2 * config.members().size() + (config.candidate() == null ? 0 : ShadowCoordinator.links(sockets));
+    /** Returns the number of descriptors reserved for calls between routers and for links for copies. */
+    int reservedDescriptors(int sockets) {
+        return 2 * config.members().size() + (config.candidate() == null ? 0 : ShadowCoordinator.maxLinks(sockets));
     }
 
-    /** What is taken up of the list. */
+    /** Applies a change of the list of cache servers. */
     void changed(HostGroup.Change change) {
         if (shadow != null) {
             shadow.changed(change);
@@ -133,26 +135,29 @@
         }
     }
 
-    /** @param zones names of zones, as the settings number them */
-    void start(EventLoop loop, HostGroup hosts, List<String> zones, TopologyGate.Later later) {
+    /** @param zones zone names in the order of their indexes in the settings */
+    void start(EventLoop loop, HostGroup hosts, List<String> zones, TopologyGate.DelayedAdmission delayedAdmission) {
         if (freeze != null) {
-            hosts.setAdmission(new TopologyGate(this, zones, later));
+            hosts.setAdmission(new TopologyGate(this, zones, delayedAdmission));
         }
-        parts.forEach(FleetService::start);
+        services.forEach(FleetService::start);
         if (shadow != null) {
             promotions.start();
             shadow.start();
         }
-        calls.start();
+        rpc.start();
         loop.scheduleWithFixedDelay(
-                new GuardedTask("look at the fleet", () -> look(hosts)), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                new GuardedTask("poll the fleet", () -> poll(hosts)),
+                POLL_INTERVAL_MS,
+                POLL_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void look(HostGroup hosts) {
+    private void poll(HostGroup hosts) {
         if (held != null) {
             held.due(tasks.wall().instant(), tasks.nanoTime()).forEach(Runnable::run);
         }
-        view.facts(new FleetView.Facts(
+        membership.facts(new FleetView.Facts(
                 BUILD,
                 config.hash(),
                 hosts.generation(),
@@ -172,7 +177,7 @@
         }
     }
 
-    /** Why a change that staff ask for may not be made now; null where it may. */
+    /** Returns why the calendar forbids a change that was requested on the console, or null if it allows the change. */
     String refusal(Change change) {
         Calendar.Answer answer = calendar().ask(change, tasks.wall().instant(), tasks.nanoTime());
         boolean open = answer.permit() == Calendar.Permit.OPEN;
@@ -193,23 +198,23 @@
                         : "the calendar is unknown: " + answer.reason();
     }
 
-    /** From any thread. */
+    /** Reads the files of all services again. May be called from any thread. */
     void reload() {
-        parts.forEach(FleetService::reload);
+        services.forEach(FleetService::reload);
     }
 
-    /** The lines of {@code STATUS}. */
+    /** Returns the lines for the answer to {@code STATUS}. */
     List<String> status() {
-        return Stream.concat(Stream.of(calls.status()), parts.stream().flatMap(p -> p.status().stream()))
+        return Stream.concat(Stream.of(rpc.status()), services.stream().flatMap(service -> service.status().stream()))
                 .toList();
     }
 
-    /** The process is told to end: others hear that it left, and need not suspect it. */
+    /** Announces to the other members that this process is ending, so that they do not suspect it of a failure. */
     void leave() {
-        view.leave();
+        membership.leave();
     }
 
-    /** The process ends. Does not wait: a task that hangs keeps nothing from draining. */
+    /** Stops the shadow map and the tasks. Does not wait, so that a hanging task does not delay the drain. */
     void stop() {
         if (shadow != null) {
             shadow.stop();
@@ -217,6 +222,6 @@
         Thread end = new Thread(tasks::stop, "fleet-stop");
         end.setDaemon(true);
         end.start();
-        LOG.debug("the fleet's tasks are told to end");
+        LOG.debug("stopping the tasks of the fleet");
     }
 }
--- a/router/src/main/java/stagepier/app/HistoryLog.java
+++ b/router/src/main/java/stagepier/app/HistoryLog.java
@@ -6,12 +6,15 @@
 import org.slf4j.spi.LoggingEventBuilder;
 import stagepier.fleet.History;
 
-/** A history as key-values of the logger {@code history}, which is off unless another logging library is put beside the program. */
+/**
+ * Writes history events as key-value pairs to the logger {@code history}. That logger is disabled unless another
+ * logging backend is added to the class path.
+ */
 final class HistoryLog implements History {
     private static final Logger LOG = LoggerFactory.getLogger("history");
 
-    /** Of this process, by a clock that all processes of a machine share. */
-    static final long STARTED = System.nanoTime();
+    /** Start time of this process in nanoseconds, by a clock that all processes of a machine share. */
+    static final long INCARNATION = System.nanoTime();
 
     private HistoryLog() {}
 
@@ -21,13 +24,13 @@
 
     @Override
     public void write(String event, Object... namesAndValues) {
-        LoggingEventBuilder line = LOG.atInfo().addKeyValue("nano", System.nanoTime());
+        LoggingEventBuilder entry = LOG.atInfo().addKeyValue("nano", System.nanoTime());
         if (!Arrays.asList(namesAndValues).contains("incarnation")) {
-            line = line.addKeyValue("incarnation", STARTED);
+            entry = entry.addKeyValue("incarnation", INCARNATION);
         }
         for (int i = 0; i < namesAndValues.length; i += 2) {
-            line = line.addKeyValue((String) namesAndValues[i], namesAndValues[i + 1]);
+            entry = entry.addKeyValue((String) namesAndValues[i], namesAndValues[i + 1]);
         }
-        line.log(event);
+        entry.log(event);
     }
 }
--- a/router/src/main/java/stagepier/app/Main.java
+++ b/router/src/main/java/stagepier/app/Main.java
@@ -17,24 +17,24 @@
 import stagepier.adapter.WireException;
 
 /**
- * Command line: {@code serve} is a router, {@code adapter} speaks the simulator's wire on standard input and output,
- * {@code rehearse} is part of the build.
+ * Command line: {@code serve} runs a router, {@code adapter} speaks the simulator's protocol on standard input and
+ * output, {@code rehearse} is a step of the build.
  */
 public final class Main {
     private static final int USAGE = 64;
     private static final int BAD_INPUT = 65;
     private static final int IO_ERROR = 74;
     private static final int BAD_CONFIG = 78;
-    /** What a signal's handler is called that whoever started the process has set to be ignored. */
-    private static final String IGNORED = "SIG_IGN";
-    /** No client waits longer than this; what is open then will never end. */
-    private static final int STOP_MOST_S = 30;
+    /** String form of the handler of a signal that the parent process has set to be ignored. */
+    private static final String IGNORED_HANDLER = "SIG_IGN";
+    /** No client waits longer than this; requests that are still open then will not complete. */
+    private static final int STOP_TIMEOUT_S = 30;
 
     private Main() {}
 
     public static void main(String[] args) {
-        String word = args.length == 1 ? args[0] : "";
-        switch (word) {
+        String command = args.length == 1 ? args[0] : "";
+        switch (command) {
             case "adapter" -> adapter();
             case "serve" -> serve();
             case "rehearse" -> rehearse();
@@ -44,7 +44,7 @@
 
     private static void adapter() {
         try {
-            // Unbuffered output: each reply is one write of a whole buffer.
+            // The output is not buffered: each reply is a single write of a complete buffer.
             new Adapter(
                             new BufferedInputStream(new FileInputStream(FileDescriptor.in), 1 << 16),
                             new FileOutputStream(FileDescriptor.out))
@@ -59,12 +59,13 @@
     private static void serve() {
         String path = System.getenv("GW_CONFIG");
         CompletableFuture<Router> built = new CompletableFuture<>();
-        // First of all, for this signal ends a JVM that does not handle it; one that comes early waits for the router.
-        Object before = Signals.register("HUP", () -> built.thenAccept(router -> reload(router, path)));
-        if (IGNORED.equals(String.valueOf(before))) {
-            // As under nohup: the JVM leaves such a signal ignored, and nobody would know why a SIGHUP does nothing.
+        // Registered first, because SIGHUP ends a JVM without a handler; an early signal waits until the router exists.
+        Object previous = Signals.register("HUP", () -> built.thenAccept(router -> reload(router, path)));
+        if (IGNORED_HANDLER.equals(String.valueOf(previous))) {
+            // For example under nohup: the JVM leaves such a signal ignored, and a SIGHUP would have no effect.
             LoggerFactory.getLogger(Main.class)
-                    .warn("SIGHUP is ignored by what started this process: the configuration is read only now");
+                    .warn(
+                            "SIGHUP is ignored because the parent process ignores it: the configuration cannot be reloaded");
         }
         try {
             Router router = TransientFailures.repeat(() -> new Router(Config.read(path)));
@@ -81,7 +82,7 @@
         }
     }
 
-    /** Part of the build, see {@link Rehearsal}; the archive is written as the process ends in order. */
+    /** Step of the build, see {@link Rehearsal}; the JVM writes the archive when the process exits normally. */
     private static void rehearse() {
         try {
             Rehearsal.run();
@@ -92,24 +93,25 @@
     }
 
     /**
-     * Runs on SIGHUP, each time on a thread of its own. One at a time, so that what was read last is taken over last;
-     * a file that makes no sense changes nothing.
+     * Reloads the configuration on SIGHUP, each time on a new thread. Synchronized, so that the configuration that was
+     * read last is applied last. An invalid file changes nothing.
      */
     private static synchronized void reload(Router router, String path) {
         try {
             router.reload(TransientFailures.repeat(() -> Config.read(path)));
         } catch (Config.InvalidConfigException e) {
-            LoggerFactory.getLogger(Main.class).error("the configuration in force stays: {}", e.getMessage());
+            LoggerFactory.getLogger(Main.class)
+                    .error("reload failed, keeping the current configuration: {}", e.getMessage());
         }
     }
 
-    /** Runs on SIGTERM. Ends the process itself, for the exit code of a signal would look like a crash. */
+    /** Runs on SIGTERM. Halts the JVM itself, because the exit code of a signal would look like a crash. */
     private static void stop(Router router) {
         Logger log = LoggerFactory.getLogger(Main.class);
         try {
-            router.stop().get(STOP_MOST_S, TimeUnit.SECONDS);
+            router.stop().get(STOP_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
-            log.error("did not stop in order", e);
+            log.error("graceful shutdown failed; exiting with status 1", e);
             Runtime.getRuntime().halt(1);
         }
         Runtime.getRuntime().halt(0);
--- a/router/src/main/java/stagepier/app/Rehearsal.java
+++ b/router/src/main/java/stagepier/app/Rehearsal.java
@@ -9,8 +9,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A router that serves itself a few requests over loopback sockets and stops. The build runs it once to record in an
- * archive the classes that a router loads: on part of a core, loading them from the jar takes most of a start.
+ * Starts a router, sends it a few requests over loopback sockets and stops it. The build runs this once to record the
+ * classes that a router loads in a class data sharing archive: on a fraction of a core, loading them from the jar takes
+ * most of the start-up time.
  */
 final class Rehearsal {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -28,14 +29,14 @@
             {"generation":%d,"reset":%b,"instances":[{"instanceId":"s-00000001","hostPort":"127.0.0.1:%d","zone":"a",
             "machineType":"m","cell":0,"lifecycle":"up","weight":3.0,"startedAtMs":0}]}""";
 
-    /** What one connection of a stand-in is to do with each of its lines. */
+    /** Answers one line that a connection of a stand-in server receives. */
     private interface LineHandler {
         String answer(String line, BufferedReader in) throws IOException;
     }
 
     private Rehearsal() {}
 
-    /** Returns how many requests were served. */
+    /** Returns the number of requests that were served. */
     static int run() throws Exception {
         try (ServerSocket cache = listen();
                 ServerSocket discovery = listen()) {
@@ -87,7 +88,10 @@
         return served;
     }
 
-    /** So that the first call of staff to a router that is short of processor time does not wait for classes. */
+    /**
+     * Records the console's classes, so that the first console command to a busy router does not wait for class
+     * loading.
+     */
     private static void call(int console, String line) throws IOException {
         try (Socket caller = new Socket(LOOPBACK, console)) {
             caller.setSoTimeout(WAIT_MS);
@@ -122,7 +126,7 @@
         });
     }
 
-    /** A stand-in's step; it ends when its socket is closed. */
+    /** A task of a stand-in server; it ends when its socket is closed. */
     interface Step {
         void run() throws IOException;
     }
@@ -133,7 +137,7 @@
                     try {
                         step.run();
                     } catch (IOException e) {
-                        // The other side has closed, or the rehearsal is over.
+                        // The peer has closed the connection, or the rehearsal is over.
                     }
                 },
                 "stand-in");
@@ -145,7 +149,7 @@
         return new ServerSocket(0, 50, LOOPBACK);
     }
 
-    /** A port on which nobody listens now. */
+    /** Returns a port that is free at the time of the call. */
     static int freePort() throws IOException {
         try (ServerSocket free = listen()) {
             return free.getLocalPort();
--- a/router/src/main/java/stagepier/app/Router.java
+++ b/router/src/main/java/stagepier/app/Router.java
@@ -37,32 +37,37 @@
 import stagepier.server.ServerPools;
 import stagepier.tasks.GuardedTask;
 
-/** One running router: puts the parts together on one event loop, starts them and stops them. */
+/** One running router: wires its components on one event loop, starts them and stops them. */
 final class Router {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
     private static final int POLL_MS = 10;
-    private static final int LISTEN_AGAIN_MS = 50;
-    /** Files, selectors, the listening socket, discovery, and sockets that are accepted just before the listener is full. */
+    private static final int LISTEN_RETRY_MS = 50;
+    /** Descriptors for files, selectors, the listening socket, discovery and sockets accepted just before the limit. */
     static final int OWN_DESCRIPTORS = 48;
 
-    private static final double SERVER_PART = 0.12;
-    /** The most that links to cache servers may take. */
-    private static final double SERVER_PART_MOST = 1 / 3.0;
-    /** Links for each server that is known at the start, and beyond: a list may grow, and closed links linger. */
-    private static final double LINKS_A_SERVER = 1.25;
-
-    private static final int MORE_LINKS = 8;
-    /** Servers that are provided for where no list is known. */
-    private static final int LISTED_MOST = 200;
-    /** Client links for which the heap has room while they hold little; what they hold beyond that has its own bound. */
-    private static final int PLACES_MOST = 1024;
+    /** Fraction of the descriptors that links to cache servers may take however short the list is. */
+    private static final double SERVER_LINK_FRACTION = 0.12;
+    /** Maximum fraction of the descriptors for links to cache servers. */
+    private static final double MAX_SERVER_LINK_FRACTION = 1 / 3.0;
+    /** Links for each server known at the start; above 1 because the list may grow and closed links linger. */
+    private static final double LINKS_PER_SERVER = 1.25;
+
+    /** Links in addition to those for the servers; covers closed links whose descriptors linger. */
+    private static final int SPARE_LINKS = 8;
+    /** Number of servers that is assumed if no list is known. */
+    private static final int DEFAULT_SERVERS = 200;
+    /**
+     * Maximum client links for which the heap has room while they buffer little; their buffers have a limit of their
+     * own.
+     */
+    private static final int MAX_CLIENT_LINKS = 1024;
 
     private final Config config;
     private final Clock clock = new Clock();
     private final LoopDelay delay;
     private final Pressure pressure = new Pressure();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, WholeMillisecondWaits.ofSockets(this::looking));
+            new MultiThreadIoEventLoopGroup(1, WholeMillisecondWaits.socketHandlers(this::selectStrategy));
     private final EventLoop loop = group.next();
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
@@ -71,26 +76,29 @@
     private final ServerPools servers;
     private final ClientListener clients;
     private final DiscoveryWatch watch;
-    /** Null where routers don't tell each other anything. */
+    /** Null if the routers exchange no reports. */
     private final PeerSocket peers;
 
     private final Drain drain;
-    /** Null where no console is named. */
+    /** Null if no console is configured. */
     private final ConsoleListener console;
-    /** Null where no console is named. */
-    private final ConsoleOperations staff;
-    /** Null where this router decides nothing together with others. */
+    /** Null if no console is configured. */
+    private final ConsoleOperations operations;
+    /** Null if this router is not part of a fleet. */
     private final FleetCoordinator fleet;
-    /** Where the configuration wants discovery to be; the watch is there unless that is held. */
-    private InetSocketAddress wanted;
-    /** Discovery was asked what there is now, and has said so or not. */
-    private boolean asked;
+    /**
+     * The address of discovery in the latest configuration; the watch differs from it while the calendar holds the
+     * move.
+     */
+    private InetSocketAddress configuredDiscovery;
+    /** Whether the first call to discovery is over, with or without an answer. */
+    private boolean discoveryAsked;
 
     private boolean listening;
 
     Router(Config config) throws Config.InvalidConfigException {
         this.config = config;
-        wanted = config.discovery();
+        configuredDiscovery = config.discovery();
         fleet = config.fleet().isEmpty() ? null : FleetCoordinator.read(config.fleet(), config.name(), config.seed());
         Api.Settings settings = config.settings().settings();
         double drainGrace = settings.protection().drainGrace();
@@ -104,14 +112,14 @@
                 delay,
                 host,
                 ServerPools.sockets(loop, settings.limits().connectTimeout()),
-                (int) (SERVER_PART * config.sockets()),
-                serverLinks(config.sockets(), listed(config.known())),
+                (int) (SERVER_LINK_FRACTION * config.sockets()),
+                serverLinks(config.sockets(), listedServers(config.known())),
                 settings,
                 config.settings().idleClose(),
                 config.settings().streams());
         servers.readReports(config.settings().answerReport());
         host.connect(new RoutingPolicy(settings, config.seed(), host), servers);
-        clients = new ClientListener(loop, clock, delay, clientPlaces(), host, this::stats, drain);
+        clients = new ClientListener(loop, clock, delay, maxClientLinks(), host, this::stats, drain);
         WatchTimes times =
                 settings.listOnRequest() ? WatchTimes.ofSharedService(drainGrace) : WatchTimes.ofAgent(drainGrace);
         watch = new DiscoveryWatch(
@@ -123,12 +131,12 @@
                     new PeerReports(settings, config.settings().names().zones().size(), config.seed()), peers::send);
         }
         drain.addListener((from, to) -> LOG.info("state {} -> {}", from, to));
-        staff = config.console() == null ? null : new ConsoleOperations(clock, drain, hosts, this::changed, fleet);
+        operations = config.console() == null ? null : new ConsoleOperations(clock, drain, hosts, this::changed, fleet);
         if (fleet != null) {
-            fleet.tryCandidate(
-                    new ShadowCoordinator.Own(loop, clock, config.settings(), config.sockets(), host, pressure, drain));
+            fleet.setUpShadow(new ShadowCoordinator.RouterContext(
+                    loop, clock, config.settings(), config.sockets(), host, pressure, drain));
         }
-        console = config.console() == null ? null : new ConsoleListener(loop, config.console(), staff);
+        console = config.console() == null ? null : new ConsoleListener(loop, config.console(), operations);
     }
 
     private static double longestDeadline(Api.Settings settings) {
@@ -138,8 +146,8 @@
                 .orElseThrow();
     }
 
-    /** The usual way to look for input, which tells when it does. */
-    private SelectStrategy looking() {
+    /** Returns the default select strategy, extended to report each poll to the measurement of the loop delay. */
+    private SelectStrategy selectStrategy() {
         SelectStrategy usual = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
         return (selectNow, hasTasks) -> {
             delay.onPoll(clock.now());
@@ -147,7 +155,7 @@
         };
     }
 
-    private void beat() {
+    private void heartbeat() {
         double now = clock.now();
         delay.onHeartbeat(now);
         if (peers != null) {
@@ -162,43 +170,44 @@
         }
     }
 
-    /** For tests that bring the loop into trouble. */
+    /** Returns the event loop, for tests that stall it. */
     EventLoop loop() {
         return loop;
     }
 
-    private int clientPlaces() {
-        return places(config.sockets(), listed(config.known()))
-                - (fleet == null ? 0 : fleet.descriptors(config.sockets()));
+    private int maxClientLinks() {
+        return clientLinks(config.sockets(), listedServers(config.known()))
+                - (fleet == null ? 0 : fleet.reservedDescriptors(config.sockets()));
     }
 
-    /** Descriptors for clients: what is left when the program's own and those for cache servers are set aside. */
-    static int places(int sockets, int servers) {
-        return Math.min(PLACES_MOST, sockets - OWN_DESCRIPTORS - serverLinks(sockets, servers));
+    /** Returns the maximum number of client links: the descriptors that neither the process nor server links need. */
+    static int clientLinks(int sockets, int servers) {
+        return Math.min(MAX_CLIENT_LINKS, sockets - OWN_DESCRIPTORS - serverLinks(sockets, servers));
     }
 
-    /** Descriptors for links to cache servers: one to each of the list, while that leaves clients most of them. */
+    /** Returns the descriptors for links to cache servers: at least one per listed server, up to a third of all. */
     static int serverLinks(int sockets, int servers) {
-        int needed = (int) (LINKS_A_SERVER * servers) + MORE_LINKS;
-        return Math.max(
-                (int) (SERVER_PART * sockets) + MORE_LINKS, Math.min(needed, (int) (SERVER_PART_MOST * sockets)));
+        int needed = (int) (LINKS_PER_SERVER * servers) + SPARE_LINKS;
+        return Math.max((int) (SERVER_LINK_FRACTION * sockets) + SPARE_LINKS, Math.min(needed, (int)
+                (MAX_SERVER_LINK_FRACTION * sockets)));
     }
 
-    /** How many cache servers a known list names. */
-    private static int listed(JsonElement known) {
+    /** Returns the number of cache servers in the known list. */
+    private static int listedServers(JsonElement known) {
         JsonElement instances = known instanceof JsonObject list ? list.get("instances") : null;
-        return instances instanceof JsonArray all ? all.size() : LISTED_MOST;
+        return instances instanceof JsonArray all ? all.size() : DEFAULT_SERVERS;
     }
 
-    /** Completes once clients can be served. */
+    /** Starts the router. The future completes once clients can be served. */
     CompletableFuture<Void> start() {
         loop.execute(() -> {
             if (console == null) {
-                takeUpKnownList();
+                applyKnownList();
             } else {
-                // In this order: bans before the first list, and that list before a call that names one of its servers.
-                staff.start(loop);
-                takeUpKnownList();
+                // The order matters: bans come before the first list, and the list before console commands that name a
+                // server.
+                operations.start(loop);
+                applyKnownList();
                 console.start();
             }
         });
@@ -214,38 +223,39 @@
         return ready;
     }
 
-    private void takeUpKnownList() {
+    private void applyKnownList() {
         try {
             if (config.known() != null) {
                 changed(hosts.apply(config.known()));
             }
         } catch (IllegalArgumentException e) {
-            LOG.warn("the known list is of no use: {}", e.getMessage());
+            LOG.warn("ignoring the known list of cache servers in the configuration: {}", e.getMessage());
         }
     }
 
     /**
-     * All is warm: goes on from the list as it was known last with the one that is. Guards against requests that
-     * are decided by a known list which was old when this process began: clients come once discovery was asked.
+     * Starts the watch of discovery after the warm-up. Clients are accepted only after the first call to discovery, so
+     * that no request is routed by a known list that was already outdated when this process started.
      */
     private void serve() {
         if (fleet != null) {
             fleet.start(loop, hosts, config.settings().names().zones(), host -> changed(hosts.admit(host)));
         }
         watch.start(() -> {
-            asked = true;
+            discoveryAsked = true;
             listenOnce();
         });
         if (peers != null) {
             peers.start();
         }
-        long beat = (long) (LoopDelay.HEARTBEAT_INTERVAL * 1e6);
-        loop.scheduleWithFixedDelay(new GuardedTask("heartbeat", this::beat), beat, beat, TimeUnit.MICROSECONDS);
+        long intervalUs = (long) (LoopDelay.HEARTBEAT_INTERVAL * 1e6);
+        loop.scheduleWithFixedDelay(
+                new GuardedTask("heartbeat", this::heartbeat), intervalUs, intervalUs, TimeUnit.MICROSECONDS);
     }
 
     private void changed(HostGroup.Change change) {
         if (!change.complete() && change.hosts().isEmpty()) {
-            // If the process stood still before this was read, there may be more to be told.
+            // If the process was suspended before this was read, further changes may be pending.
             host.mustWaitForList(() -> {});
             return;
         }
@@ -256,7 +266,8 @@
                 servers.ready(h.member().id(), h.address(), h.member().startedAt());
             }
         }
-        // The module first: what a retired server ends must not be sent to another that is on its way out.
+        // The module is updated first: requests that a retired server fails must not go to another server that is
+        // leaving.
         host.members(change.complete(), members);
         if (fleet != null) {
             fleet.changed(change);
@@ -271,7 +282,7 @@
     }
 
     private void listenOnce() {
-        if (!listening && asked && hosts.generation() >= 0) {
+        if (!listening && discoveryAsked && hosts.generation() >= 0) {
             listening = true;
             listen();
         }
@@ -283,13 +294,13 @@
         }
         ChannelFuture up;
         try {
-            up = config.passed() ? clients.listen(group, passed()) : clients.listen(group, config.listen());
+            up = config.passed() ? clients.listen(group, passedSocket()) : clients.listen(group, config.listen());
         } catch (IOException e) {
             ready.completeExceptionally(e);
             return;
         } catch (ChannelException e) {
-            LOG.warn("no socket to listen on yet: {}", e.getMessage());
-            loop.schedule(this::listen, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+            LOG.warn("cannot open the listening socket, retrying: {}", e.getMessage());
+            loop.schedule(this::listen, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
             return;
         }
         up.addListener(done -> {
@@ -302,8 +313,8 @@
         });
     }
 
-    /** The listening socket that is descriptor 0. */
-    private static ServerSocketChannel passed() throws IOException {
+    /** Returns the listening socket that is inherited as descriptor 0. */
+    private static ServerSocketChannel passedSocket() throws IOException {
         if (System.inheritedChannel() instanceof ServerSocketChannel socket) {
             return socket;
         }
@@ -311,41 +322,45 @@
     }
 
     /**
-     * Takes over a configuration that was read again: the watch moves to its discovery. All else that it says holds
-     * from the next start on. Harmless while the router starts or drains.
+     * Applies a reloaded configuration: moves the watch to its discovery address. All other changes need a restart. May
+     * be called while the router starts or drains.
      */
     void reload(Config fresh) {
         if (fleet != null) {
-            // Reads files: not on the event loop.
+            // Reads files, so it must not run on the event loop.
             fleet.reload();
         }
         loop.execute(() -> {
-            LOG.info("configuration read again: discovery at {}", fresh.discovery());
+            LOG.info("configuration reloaded: discovery at {}", fresh.discovery());
             if (!fresh.listen().equals(config.listen()) || !fresh.settings().equals(config.settings())) {
-                LOG.warn("the new configuration differs in more than discovery: that needs a restart");
+                LOG.warn(
+                        "the new configuration changes more than the discovery address; the other changes need a restart");
             }
             if (fleet == null) {
                 watch.moveTo(fresh.discovery());
             } else {
-                move(fresh.discovery());
+                moveWatch(fresh.discovery());
             }
         });
     }
 
-    /** Moves the watch, unless the calendar holds that; held moves are made later, the newest only. */
-    private void move(InetSocketAddress to) {
-        if (to.equals(wanted)) {
+    /** Moves the watch, or holds the move while the calendar forbids it; only the newest held move is made later. */
+    private void moveWatch(InetSocketAddress to) {
+        if (to.equals(configuredDiscovery)) {
             return;
         }
-        wanted = to;
+        configuredDiscovery = to;
         if (fleet.offer(new Change(Change.Kind.MOVE_DISCOVERY, "", ""), () -> watch.moveTo(to))) {
             watch.moveTo(to);
         } else {
-            LOG.info("discovery stays as it was until the calendar allows the move to {}", to);
+            LOG.info("keeping the current discovery until the freeze calendar allows the move to {}", to);
         }
     }
 
-    /** Goes on serving for a while, then finishes all that was taken. Completes when that is done. */
+    /**
+     * Drains: serves for the grace period, then finishes the accepted requests. The future completes after the last
+     * one.
+     */
     CompletableFuture<Void> stop() {
         loop.execute(() -> {
             if (drain.state() != Drain.State.ENDING) {
@@ -354,7 +369,8 @@
                     fleet.leave();
                 }
                 if (config.passed()) {
-                    // Whoever has the socket as well serves already: the backlog is left to it.
+                    // Another process that shares the socket already serves, and accepts the connections in the
+                    // backlog.
                     clients.stopAccepting();
                     stopPeers();
                 }
@@ -392,7 +408,7 @@
         }
     }
 
-    /** All counters, a line each, as {@code stats} answers them. On the event loop. */
+    /** Returns all counters, one per line, as the answer to {@code stats}. Runs on the event loop. */
     private String stats() {
         StringBuilder text = new StringBuilder();
         count((name, value) ->
@@ -415,7 +431,7 @@
         }
         if (console != null) {
             console.count(to);
-            staff.count(to);
+            operations.count(to);
         }
     }
 
@@ -424,7 +440,7 @@
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    /** All counters in one line, taken on the event loop. */
+    /** Returns all counters in one line, read on the event loop. */
     CompletableFuture<String> counters() {
         CompletableFuture<String> line = new CompletableFuture<>();
         loop.execute(() -> line.complete(countersLine()));
--- a/router/src/main/java/stagepier/app/ShadowCoordinator.java
+++ b/router/src/main/java/stagepier/app/ShadowCoordinator.java
@@ -29,28 +29,28 @@
 import stagepier.tasks.Tasks;
 
 /**
- * The two halves of the shadow put together: copies on the event loop, and the part beside it. Made only where {@code fleet.toml}
- * names a candidate. All that is not said otherwise is called on the event loop.
+ * Connects the two halves of the shadow map: the copies on the event loop and the service on separate tasks. Created
+ * only if {@code fleet.toml} names a candidate map. Methods are called on the event loop unless stated otherwise.
  */
 final class ShadowCoordinator {
-    /** Part of all descriptors that copies may take, and how many at the least and the most. */
-    private static final double LINKS_PART = 0.02;
+    /** Fraction of all descriptors that links for copies may take, within the limits below. */
+    private static final double LINKS_FRACTION = 0.02;
 
-    private static final int LINKS_LEAST = 4;
-    private static final int LINKS_MOST = 64;
+    private static final int MIN_LINKS = 4;
+    private static final int MAX_LINKS = 64;
 
-    private final ShadowService part;
+    private final ShadowService service;
     private final ServerStates servers;
     private final ShadowCopies copies;
 
     /**
-     * What it has of the part of the router that the fleet's work is.
+     * The dependencies that belong to the fleet.
      *
-     * @param incarnation of this process, as its histories have it: above 0, and never that of another one of its name
+     * @param incarnation of this process, as in its history: above 0 and unique among the processes of the same name
      */
-    record Fleet(
+    record FleetContext(
             Tasks tasks,
-            FleetRpc calls,
+            FleetRpc rpc,
             FleetConfig config,
             long incarnation,
             Supplier<FleetView> view,
@@ -58,8 +58,8 @@
             Agreement agreement,
             History history) {}
 
-    /** What it has of the router itself. */
-    record Own(
+    /** The dependencies that belong to the router. */
+    record RouterContext(
             EventLoop loop,
             Clock clock,
             SettingsParser.Parsed settings,
@@ -68,14 +68,15 @@
             Pressure pressure,
             Drain drain) {}
 
-    ShadowCoordinator(Fleet fleet, Own own) {
-        Api.Settings settings = own.settings().settings();
+    ShadowCoordinator(FleetContext fleet, RouterContext context) {
+        Api.Settings settings = context.settings().settings();
         servers = new ServerStates(
                 settings.protection().warmUp(),
-                (now, server) -> own.host().avoidsOptionalLoad(now, server) ? Eligibility.CROWDED : Eligibility.FIT);
-        part = new ShadowService(new ShadowService.Parts(
+                (now, server) ->
+                        context.host().avoidsOptionalLoad(now, server) ? Eligibility.CROWDED : Eligibility.FIT);
+        service = new ShadowService(new ShadowService.Parts(
                 fleet.tasks(),
-                fleet.calls(),
+                fleet.rpc(),
                 fleet.config(),
                 fleet.incarnation(),
                 fleet.view(),
@@ -83,71 +84,71 @@
                 fleet.agreement(),
                 servers::members,
                 settings.weights() == Api.WeightMeaning.SIZE,
-                own.settings().names().zones(),
-                own.settings().names().kinds(),
+                context.settings().names().zones(),
+                context.settings().names().kinds(),
                 fleet.history()));
         RouterState router = new RouterState() {
             @Override
             public boolean isPressed() {
-                return own.pressure().state() != Pressure.State.NORMAL;
+                return context.pressure().state() != Pressure.State.NORMAL;
             }
 
             @Override
             public boolean isDraining() {
-                return !own.drain().isReady();
+                return !context.drain().isReady();
             }
         };
-        // Ids of copies differ by router and by process; clients' ids are not known to look like this.
+        // Ids of copies differ by router and by process, and do not have a form that clients are known to use.
         String ids = "s" + Long.toHexString(fleet.config().self().hashCode() & 0xffffffffL)
                 + Long.toHexString(fleet.incarnation()) + "x";
         copies = new ShadowCopies(new ShadowCopies.Parts(
-                own.loop(),
-                own.clock(),
-                ServerPools.sockets(own.loop(), settings.limits().connectTimeout()),
-                own.settings(),
-                links(own.sockets()),
+                context.loop(),
+                context.clock(),
+                ServerPools.sockets(context.loop(), settings.limits().connectTimeout()),
+                context.settings(),
+                maxLinks(context.sockets()),
                 ids,
                 router,
                 servers,
                 fleet.tasks()::nanoTime,
-                part::orders,
-                part::counted,
-                part::promoted,
-                own.host()::promoted,
+                service::orders,
+                service::counted,
+                service::promoted,
+                context.host()::promoted,
                 fleet.history()));
-        own.host().connectShadow(copies);
+        context.host().connectShadow(copies);
     }
 
-    /** Descriptors that copies take at the most. */
-    static int links(int sockets) {
-        return Math.max(LINKS_LEAST, Math.min(LINKS_MOST, (int) (LINKS_PART * sockets)));
+    /** Returns the maximum number of descriptors for copies. */
+    static int maxLinks(int sockets) {
+        return Math.max(MIN_LINKS, Math.min(MAX_LINKS, (int) (LINKS_FRACTION * sockets)));
     }
 
-    /** What the fleet agrees on, as promotions need it: one sequence, whatever the topic. */
-    static Agreement agreement(AgreedSequence texts) {
+    /** Adapts the agreed sequence of the fleet for promotions: all topics share one sequence. */
+    static Agreement agreement(AgreedSequence sequence) {
         return new Agreement() {
             @Override
             public boolean propose(String topic, String text, Duration most) throws InterruptedException {
-                return texts.propose(text, most);
+                return sequence.propose(text, most);
             }
 
             @Override
             public Optional<Accepted> latest(String topic) {
-                return Optional.ofNullable(texts.last()).map(last -> new Accepted(last.version(), last.text()));
+                return Optional.ofNullable(sequence.last()).map(last -> new Accepted(last.version(), last.text()));
             }
         };
     }
 
-    /** To be started, asked for its lines and told of files with the others. */
-    FleetService part() {
-        return part;
+    /** Returns the service, which is started, reloaded and asked for its status with the other fleet services. */
+    FleetService service() {
+        return service;
     }
 
     void start() {
         copies.start();
     }
 
-    /** What discovery or staff have changed of the list, as it is taken up. */
+    /** Applies a change of the list that was made by discovery or on the console. */
     void changed(HostGroup.Change change) {
         for (HostGroup.Host h : change.hosts()) {
             servers.listed(h.member(), h.address());
@@ -155,16 +156,16 @@
         change.left().forEach(h -> servers.left(h.member().id()));
     }
 
-    /** Version of the candidate, for the view; from any thread. */
+    /** Returns the version of the candidate map for the fleet view. May be called from any thread. */
     long version() {
-        return part.version();
+        return service.version();
     }
 
     void count(ObjLongConsumer<String> to) {
         to.accept("shadow_links", copies.links());
     }
 
-    /** Gives back all links for copies. */
+    /** Closes all links for copies. */
     void stop() {
         copies.stop();
     }
--- a/router/src/main/java/stagepier/app/SocketWarmUp.java
+++ b/router/src/main/java/stagepier/app/SocketWarmUp.java
@@ -16,24 +16,25 @@
 import stagepier.link.Sockets;
 
 /**
- * Calls this process' own console a number of times before the router serves. Guards against the first wave of clients after a
- * start or a handover meeting code for sockets (accept, connect, read, write, close) that has never run: on part of a core that
- * wave is then late by tens of milliseconds for seconds. {@link WarmUp} takes requests the whole way, but over no sockets.
+ * Connects to this process's own console a number of times before the router serves. Without it the first clients after
+ * a start or a handover run socket code (accept, connect, read, write, close) that is not compiled yet: on a fraction
+ * of a core they are delayed by tens of milliseconds for several seconds. {@link WarmUp} processes complete requests,
+ * but without sockets.
  */
 final class SocketWarmUp {
     private static final int CALLS = 240;
-    private static final int AT_ONCE = 4;
-    /** It ends after so long however far it has come; seconds. */
-    private static final double LASTS_MOST = 1;
+    private static final int CONCURRENT_CALLS = 4;
+    /** The warm-up ends after this period even if it is not complete. */
+    private static final double TIME_LIMIT_S = 1;
 
-    private static final byte[] CALL = "STATUS\n".getBytes(StandardCharsets.ISO_8859_1);
+    private static final byte[] STATUS_COMMAND = "STATUS\n".getBytes(StandardCharsets.ISO_8859_1);
 
     private final EventLoop loop;
     private final InetSocketAddress console;
     private final Runnable done;
-    private int begun;
+    private int started;
     private int open;
-    private boolean over;
+    private boolean finished;
 
     private SocketWarmUp(EventLoop loop, InetSocketAddress console, Runnable done) {
         this.loop = loop;
@@ -42,67 +43,67 @@
     }
 
     /**
-     * On the event loop.
+     * Must be called on the event loop.
      *
-     * @param console where this process listens for staff
-     * @param done    called once, whatever became of the calls
+     * @param console address of this process's console
+     * @param done    called once, whether or not the calls succeed
      */
     static void run(EventLoop loop, InetSocketAddress console, Runnable done) {
         SocketWarmUp warmUp = new SocketWarmUp(loop, console, done);
-        // Whatever becomes of the calls: a start waits for nothing that may not come.
-        loop.schedule(warmUp::end, (long) (LASTS_MOST * 1e3), TimeUnit.MILLISECONDS);
-        for (int i = 0; i < AT_ONCE; i++) {
-            warmUp.next();
+        // Bounds the warm-up, so that the start does not wait for a call that never completes.
+        loop.schedule(warmUp::finish, (long) (TIME_LIMIT_S * 1e3), TimeUnit.MILLISECONDS);
+        for (int i = 0; i < CONCURRENT_CALLS; i++) {
+            warmUp.startNextCall();
         }
     }
 
-    private void next() {
-        if (over) {
+    private void startNextCall() {
+        if (finished) {
             return;
         }
-        if (begun == CALLS) {
+        if (started == CALLS) {
             if (open == 0) {
-                end();
+                finish();
             }
             return;
         }
-        begun++;
+        started++;
         open++;
         ChannelFactory<? extends Channel> socket;
         try {
             socket = Sockets.connecting();
         } catch (ChannelException e) {
-            end();
+            finish();
             return;
         }
         new Bootstrap()
                 .group(loop)
                 .channelFactory(socket)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (LASTS_MOST * 1e3))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (TIME_LIMIT_S * 1e3))
                 .handler(new Caller())
                 .connect(console)
-                .addListener(up -> {
-                    if (!up.isSuccess()) {
-                        // No console yet: its address is held by another process, and is waited for elsewhere.
-                        end();
+                .addListener(connected -> {
+                    if (!connected.isSuccess()) {
+                        // The console does not listen yet: another process holds its address. The listener retries.
+                        finish();
                     }
                 });
     }
 
-    /** The one end, also where the time is up first. */
-    private void end() {
-        if (!over) {
-            over = true;
+    /** Completes the warm-up once, after the last call or at the time limit. */
+    private void finish() {
+        if (!finished) {
+            finished = true;
             done.run();
         }
     }
 
-    /** One call: a line out, a line in, and the end. */
+    /** One call: sends a line, reads a line and closes the connection. */
     private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(Unpooled.wrappedBuffer(CALL));
+            ctx.writeAndFlush(Unpooled.wrappedBuffer(STATUS_COMMAND));
         }
 
         @Override
@@ -110,12 +111,12 @@
             ctx.close();
         }
 
-        /** The one place where a call that came up ends, whoever ended it. */
+        /** Called once for each established call, whichever side closed it. */
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             open--;
-            // By way of a timer: a task would run before sockets are looked at again.
-            loop.schedule(SocketWarmUp.this::next, 0, TimeUnit.NANOSECONDS);
+            // Uses a timer because a task would run before the event loop polls sockets again.
+            loop.schedule(SocketWarmUp.this::startNextCall, 0, TimeUnit.NANOSECONDS);
         }
 
         @Override
--- a/router/src/main/java/stagepier/app/TopologyGate.java
+++ b/router/src/main/java/stagepier/app/TopologyGate.java
@@ -8,32 +8,35 @@
 import stagepier.freeze.Change;
 
 /**
- * Asks the freeze calendar about what the list changes of its own accord, and holds what may not be taken up yet. Drains, removals and
- * restarts of a server's process never come here. On the event loop.
+ * Asks the freeze calendar about voluntary changes in the list of cache servers, and holds those that may not be
+ * applied yet. Drains, removals and restarts of a server's process are never held. Runs on the event loop.
  */
 final class TopologyGate implements Admission {
-    /** Takes a change, or holds it until it may be done. */
+    /** Admits a change, or holds it until the calendar allows it. */
     interface Holder {
-        /** @return false where it is held; {@code later} is then done, unless it is overtaken, once it may be */
+        /**
+         * @return false if held; {@code later} then runs once the change is allowed, unless a newer entry replaces it
+         */
         boolean offer(Change change, Runnable later);
 
+        /** Discards the held change of a server because a newer entry replaces it. */
         void overtaken(String server);
     }
 
-    /** What is held of a list that says so later. */
-    interface Later {
+    /** Applies the entry of a held change once the calendar allows it. */
+    interface DelayedAdmission {
         void admit(HostGroup.Host host);
     }
 
     private final Holder holder;
     private final List<String> zones;
-    private final Later later;
+    private final DelayedAdmission delayedAdmission;
 
-    /** @param zones names of zones, as the settings number them */
-    TopologyGate(Holder holder, List<String> zones, Later later) {
+    /** @param zones zone names in the order of their indexes in the settings */
+    TopologyGate(Holder holder, List<String> zones, DelayedAdmission delayedAdmission) {
         this.holder = holder;
         this.zones = zones;
-        this.later = later;
+        this.delayedAdmission = delayedAdmission;
     }
 
     @Override
@@ -45,7 +48,7 @@
         }
         int zone = fresh.member().zone();
         Change change = new Change(kind, fresh.name(), zone < 0 ? "" : zones.get(zone));
-        return holder.offer(change, () -> later.admit(fresh));
+        return holder.offer(change, () -> delayedAdmission.admit(fresh));
     }
 
     @Override
@@ -53,7 +56,9 @@
         holder.overtaken(server);
     }
 
-    /** What is voluntary about an entry of a server that is up; null where nothing is, as with a process that started anew. */
+    /**
+     * Returns the voluntary change in the entry of a running server, or null if there is none, such as for a restart.
+     */
     private static Change.Kind kind(HostGroup.Host old, HostGroup.Host fresh) {
         if (old == null || old.member().state() != Api.MemberState.READY) {
             return Change.Kind.ADD_SERVER;
--- a/router/src/main/java/stagepier/app/TransientFailures.java
+++ b/router/src/main/java/stagepier/app/TransientFailures.java
@@ -8,41 +8,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Repeats what the system may refuse for a moment, such as a file that cannot be read or a descriptor that cannot be had. Blocks its
- * thread between two tries: not for the event loop.
+ * Retries operations that the operating system may refuse temporarily, such as reading a file or opening a descriptor.
+ * Blocks the calling thread between attempts, so it must not be used on the event loop.
  */
 final class TransientFailures {
     private static final Logger LOG = LoggerFactory.getLogger(TransientFailures.class);
-    private static final long PAUSE_MS = 20;
-    /** A process that could not begin within this would not be ready in time. */
-    private static final long GIVES_UP_AFTER_MS = 10_000;
+    private static final long RETRY_INTERVAL_MS = 20;
+    /** A process that cannot start within this period would not be ready in time. */
+    private static final long RETRY_LIMIT_MS = 10_000;
 
     private TransientFailures() {}
 
-    /** Something that the system may refuse. */
+    /** An operation that the operating system may refuse. */
     @FunctionalInterface
     interface Attempt<T> {
         T run() throws Config.InvalidConfigException;
     }
 
     /**
-     * Repeats an attempt while what it throws was caused by the system.
+     * Repeats an attempt while its failure is caused by an I/O error that may be temporary.
      *
-     * @throws Config.InvalidConfigException of the last try, or the first that no repetition mends
+     * @throws Config.InvalidConfigException of the last attempt, or of the first failure that a retry cannot resolve
      */
     static <T> T repeat(Attempt<T> attempt) throws Config.InvalidConfigException {
-        long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(GIVES_UP_AFTER_MS);
-        for (long tries = 1; ; tries++) {
+        long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_LIMIT_MS);
+        for (long attempts = 1; ; attempts++) {
             try {
                 return attempt.run();
             } catch (Config.InvalidConfigException | RuntimeException e) {
-                if (!isTransient(e) || System.nanoTime() > giveUpAt || !pause()) {
+                if (!isTransient(e) || System.nanoTime() > giveUpAt || !awaitRetry()) {
                     throw e;
                 }
-                if (tries == 1) {
+                if (attempts == 1) {
                     LOG.warn(
-                            "the system refuses something, tried again for up to {} ms: {}",
-                            GIVES_UP_AFTER_MS,
+                            "operation refused by the operating system; retrying for up to {} ms: {}",
+                            RETRY_LIMIT_MS,
                             e.toString());
                 }
             }
@@ -61,10 +61,10 @@
         return false;
     }
 
-    /** Returns false where the thread is to end. */
-    private static boolean pause() {
+    /** Returns false if the thread was interrupted. */
+    private static boolean awaitRetry() {
         try {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/router/src/main/java/stagepier/app/WarmUp.java
+++ b/router/src/main/java/stagepier/app/WarmUp.java
@@ -26,24 +26,25 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * Takes made-up requests the whole way, from a client link to the answer, before the router serves. Guards against the
- * first clients after a start waiting for code to be compiled, which on part of a core takes seconds: what waits here
- * looks like a crowd at the cache servers. All its parts are thrown away, and its channels are no sockets.
+ * Processes synthetic requests end to end, from a client link to the answer, before the router serves. Without it the
+ * first clients after a start wait for code to be compiled, which takes seconds on a fraction of a core, and the
+ * resulting backlog looks like overload of the cache servers. All its components are discarded afterwards, and its
+ * channels are embedded channels rather than sockets.
  */
 final class WarmUp {
     private static final int SERVERS = 4;
     private static final int REQUESTS = 250;
-    private static final int PLACES = 8;
-    private static final int REST_US = 1000;
-    /** So many ask at once. */
-    private static final int AT_ONCE = 5;
+    private static final int CLIENT_LINKS = 8;
+    private static final int BATCH_INTERVAL_US = 1000;
+    /** Requests that are sent in one turn of the event loop. */
+    private static final int BATCH_SIZE = 5;
 
     private final SettingsParser.Parsed settings;
-    private final List<EmbeddedChannel> toServers = new ArrayList<>();
+    private final List<EmbeddedChannel> serverChannels = new ArrayList<>();
     private final ServerPools pools;
     private final ClientListener listener;
     private final EmbeddedChannel client;
-    private int played;
+    private int sent;
     private int served;
 
     private WarmUp(EventLoop loop, SettingsParser.Parsed settings) {
@@ -71,7 +72,7 @@
         host.members(true, members);
         Drain serving = new Drain();
         serving.started();
-        listener = new ClientListener(loop, clock, delay, PLACES, host, () -> "END", serving);
+        listener = new ClientListener(loop, clock, delay, CLIENT_LINKS, host, () -> "END", serving);
         client = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -81,71 +82,71 @@
     }
 
     /**
-     * Plays a few requests at a time and looks at sockets in between, for the console is there already.
+     * Sends the requests in batches and lets the event loop poll sockets in between, because the console already
+     * listens.
      *
-     * @param done told how many requests came back served
+     * @param done receives the number of requests that were served
      */
     static void run(EventLoop loop, SettingsParser.Parsed settings, IntConsumer done) {
-        loop.execute(() -> new WarmUp(loop, settings).play(loop, done));
+        loop.execute(() -> new WarmUp(loop, settings).sendBatches(loop, done));
     }
 
-    private void play(EventLoop loop, IntConsumer done) {
-        if (played < REQUESTS) {
-            playSome();
-            // By way of a timer: a task would run before sockets are looked at again. And one that has to be waited
-            // for: whoever
-            // holds a thread that never waits for hung must not see one here, on a machine that is short of processors.
-            loop.schedule(() -> play(loop, done), REST_US, TimeUnit.MICROSECONDS);
+    private void sendBatches(EventLoop loop, IntConsumer done) {
+        if (sent < REQUESTS) {
+            sendBatch();
+            // Uses a timer because a task would run before the event loop polls sockets again. The delay is not 0, so
+            // that a watchdog that reports threads that never wait as hung does not report this one on a busy machine.
+            loop.schedule(() -> sendBatches(loop, done), BATCH_INTERVAL_US, TimeUnit.MICROSECONDS);
         } else {
             client.close();
-            toServers.forEach(EmbeddedChannel::close);
+            serverChannels.forEach(EmbeddedChannel::close);
             pools.close();
             done.accept(served);
         }
     }
 
-    private void playSome() {
-        for (int n = 0; n < AT_ONCE; n++, played++) {
-            int i = played;
+    private void sendBatch() {
+        for (int n = 0; n < BATCH_SIZE; n++, sent++) {
+            int i = sent;
             String name = settings.names()
                     .classes()
                     .get(i % settings.names().classes().size());
-            String rest = " O%016x Pc=%s,t=acme,d=60000,k=%x".formatted(i, name, i);
+            String attributes = " O%016x Pc=%s,t=acme,d=60000,k=%x".formatted(i, name, i);
             String key = "%016x".formatted(i % 97 + 1);
-            say(
+            receive(
                     client,
                     i % 8 == 0
-                            ? Protocol.withValue("ms " + key + " 16" + rest, new byte[16])
-                            : Protocol.line("mg " + key + " v" + rest));
+                            ? Protocol.withValue("ms " + key + " 16" + attributes, new byte[16])
+                            : Protocol.line("mg " + key + " v" + attributes));
         }
         listener.workOff();
-        new ArrayList<>(toServers).forEach(WarmUp::answer);
-        served += written(client).split("(VA|HD) ", -1).length - 1;
+        new ArrayList<>(serverChannels).forEach(WarmUp::answer);
+        served += drainOutbound(client).split("(VA|HD) ", -1).length - 1;
     }
 
     private ChannelFuture connect(ChannelHandler setUp, InetSocketAddress address) {
         EmbeddedChannel channel = new EmbeddedChannel(setUp);
-        toServers.add(channel);
+        serverChannels.add(channel);
         return channel.newSucceededFuture();
     }
 
-    /** A cache server that has all. */
+    /** Answers all requests as a cache server that has every value. */
     private static void answer(EmbeddedChannel server) {
-        for (String line : written(server).split("\r\n")) {
+        for (String line : drainOutbound(server).split("\r\n")) {
             String id = line.contains(" O") ? line.substring(line.indexOf(" O"), line.indexOf(" P")) : "";
             if (line.startsWith("mg ")) {
-                say(server, Protocol.withValue("VA 16" + id + " h1", new byte[16]));
+                receive(server, Protocol.withValue("VA 16" + id + " h1", new byte[16]));
             } else if (line.startsWith("ms ")) {
-                say(server, Protocol.line("HD" + id + " cff"));
+                receive(server, Protocol.line("HD" + id + " cff"));
             }
         }
     }
 
-    private static void say(EmbeddedChannel to, byte[] bytes) {
+    private static void receive(EmbeddedChannel to, byte[] bytes) {
         to.writeInbound(Unpooled.wrappedBuffer(bytes));
     }
 
-    private static String written(EmbeddedChannel from) {
+    private static String drainOutbound(EmbeddedChannel from) {
         StringBuilder all = new StringBuilder();
         for (ByteBuf bytes = from.readOutbound(); bytes != null; bytes = from.readOutbound()) {
             all.append(bytes.toString(StandardCharsets.ISO_8859_1));
--- a/router/src/main/java/stagepier/app/WholeMillisecondWaits.java
+++ b/router/src/main/java/stagepier/app/WholeMillisecondWaits.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An I/O handler that waits for the next timer in whole milliseconds, rounded up. The handler that it wraps waits in whole
- * milliseconds as well, but rounds to the nearest: once a timer is due within half a millisecond it does not wait at all, and its
- * event loop polls the selector until then. With this handler a timer runs up to a millisecond late, and no processor time is spent
- * on polling.
+ * An I/O handler that waits for the next timer in whole milliseconds, rounded up. The wrapped handler rounds to the
+ * nearest millisecond instead: once a timer is due within half a millisecond it does not wait at all, and the event
+ * loop polls the selector until then. With this handler a timer runs up to a millisecond late, and no processor time is
+ * spent on polling.
  */
 final class WholeMillisecondWaits implements IoHandler {
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
@@ -25,14 +25,14 @@
         this.wrapped = wrapped;
     }
 
-    /** Makes handlers for sockets, of which each looks for input as that strategy says. */
-    static IoHandlerFactory ofSockets(SelectStrategyFactory strategy) {
+    /** Returns a factory of socket handlers that poll for input by the given strategy. */
+    static IoHandlerFactory socketHandlers(SelectStrategyFactory strategy) {
         IoHandlerFactory sockets = NioIoHandler.newFactory(SelectorProvider.provider(), strategy);
         return executor -> new WholeMillisecondWaits(sockets.newHandler(executor));
     }
 
-    /** Nanoseconds, rounded up to whole milliseconds; what is due already stays as it is. */
-    static long roundedUp(long nanos) {
+    /** Rounds nanoseconds up to whole milliseconds; values of 0 and below are returned unchanged. */
+    static long roundUp(long nanos) {
         if (nanos <= 0 || nanos > Long.MAX_VALUE - MILLISECOND) {
             return nanos;
         }
@@ -74,7 +74,7 @@
         return wrapped.isCompatible(handleType);
     }
 
-    /** The context of one run, in which the next timer is due a little later. */
+    /** The context of one run, with the delay until the next timer rounded up. */
     private record RoundedContext(IoHandlerContext context) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
@@ -83,7 +83,7 @@
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            return roundedUp(context.delayNanos(currentTimeNanos));
+            return roundUp(context.delayNanos(currentTimeNanos));
         }
 
         @Override
--- a/router/src/main/java/stagepier/app/package-info.java
+++ b/router/src/main/java/stagepier/app/package-info.java
@@ -1,2 +1,5 @@
-/** The program: command line, configuration, start, reload and stop of a router, and the wiring of all other parts. */
+/**
+ * Application entry point: command line, configuration, start, reload and stop of a router, and wiring of its
+ * components.
+ */
 package stagepier.app;
--- a/router/src/test/java/stagepier/app/CommandsWhileStartingTest.java
+++ b/router/src/test/java/stagepier/app/CommandsWhileStartingTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Calls of staff and signals that reach a real process before it serves: what is answered with yes holds once it does. */
+/**
+ * Console commands and signals to a router process before it serves: an accepted command takes effect once it serves.
+ */
 @Timeout(60)
 class CommandsWhileStartingTest {
     @TempDir
@@ -48,17 +50,17 @@
         other.close();
     }
 
-    private void awaitSays(String line, String answer) throws InterruptedException {
-        StandInAgent.await(() -> router.says(line).startsWith(answer));
+    private void awaitAnswer(String line, String answer) throws InterruptedException {
+        StandInAgent.await(() -> router.callConsole(line).startsWith(answer));
     }
 
     @Test
-    void aServerThatIsTakenOutWhileTheProcessStartsGetsNothing() throws Exception {
-        awaitSays("STATUS", "ERR starting");
-        assertEquals("OK s-00000001 is out", router.says("SUSPEND s-00000001"));
-        assertEquals("ERR starting", router.says("STATUS"));
+    void serverSuspendedDuringStartGetsNoRequests() throws Exception {
+        awaitAnswer("STATUS", "ERR starting");
+        assertEquals("OK s-00000001 is out", router.callConsole("SUSPEND s-00000001"));
+        assertEquals("ERR starting", router.callConsole("STATUS"));
         agent.silent(false);
-        awaitSays("STATUS", "OK serving");
+        awaitAnswer("STATUS", "OK serving");
         for (int n = 0; n < 20; n++) {
             assertTrue(router.ask("mg k" + n + " v Oq" + n + " Pc=read,d=1900").startsWith("VA 2 "));
         }
@@ -66,32 +68,32 @@
     }
 
     @Test
-    void aConfigurationThatIsReadAgainWhileTheProcessStartsLeavesOneWatch() throws Exception {
-        awaitSays("STATUS", "ERR starting");
+    void reloadDuringStartLeavesOneWatch() throws Exception {
+        awaitAnswer("STATUS", "ERR starting");
         router.configure(other);
         router.signal("HUP");
-        router.awaitLog("configuration read again");
-        assertEquals("ERR starting", router.says("STATUS"));
-        awaitSays("STATUS", "OK serving");
+        router.awaitLog("configuration reloaded");
+        assertEquals("ERR starting", router.callConsole("STATUS"));
+        awaitAnswer("STATUS", "OK serving");
         other.awaitCalls(2);
-        assertEquals(1, other.open());
-        assertEquals(0, agent.calls().size(), "asked discovery where it was before");
+        assertEquals(1, other.openConnections());
+        assertEquals(0, agent.calls().size(), "called the previous discovery address");
     }
 
     @Test
-    void aProcessThatIsToldToEndWhileItStartsEndsInOrder() throws Exception {
-        awaitSays("STATUS", "ERR starting");
+    void sigtermDuringStartExitsWithZero() throws Exception {
+        awaitAnswer("STATUS", "ERR starting");
         router.signal("TERM");
         assertEquals(0, router.exitCode());
     }
 
     @Test
-    void aPauseThatIsTakenBackWhileTheProcessStartsLeavesNothingBehind() throws Exception {
-        awaitSays("PAUSE", "OK");
-        awaitSays("RESUME", "OK");
-        assertEquals("ERR starting", router.says("STATUS"));
+    void pauseResumedDuringStartHasNoEffect() throws Exception {
+        awaitAnswer("PAUSE", "OK");
+        awaitAnswer("RESUME", "OK");
+        assertEquals("ERR starting", router.callConsole("STATUS"));
         agent.silent(false);
-        awaitSays("STATUS", "OK serving");
+        awaitAnswer("STATUS", "OK serving");
         assertEquals("MN", router.ask("mn"));
     }
 }
--- a/router/src/test/java/stagepier/app/CrossingTest.java
+++ b/router/src/test/java/stagepier/app/ConnectionRaceTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Where two events cross on a client's connection: its end, or the router's, and bytes that are on their way. */
+/** Races on a client's connection between a close by either side and data in transit. */
 @Timeout(60)
-class CrossingTest {
+class ConnectionRaceTest {
     private static final int WAIT_MS = 5000;
-    private static final String FLOOD = "x".repeat(200_000);
+    private static final String EXCESS_DATA = "x".repeat(200_000);
     private static final String CONFIG = """
             {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1","limits":{"sockets":512},"settings":{
             "Classes":[{"Name":"read","Deadline":2,"GoalTime":2,"Repeat":"idempotent","Worth":1},
@@ -61,7 +61,7 @@
         agent.close();
     }
 
-    /** A client that takes in little at a time, so that answers are still on their way when the link ends. */
+    /** Connects a client with a small receive buffer, so that answers are still in transit when the link closes. */
     private Socket connect() throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
@@ -88,27 +88,27 @@
         }
     }
 
-    /** All that one writes comes in one turn of the router's loop. */
-    private void inOneTurn(Rehearsal.Step step) throws Exception {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    /** Stalls the router's loop during a step, so that everything it writes is read in one turn of the loop. */
+    private void inOneLoopTurn(Rehearsal.Step step) throws Exception {
+        CountDownLatch stalled = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         router.loop().execute(() -> {
-            stands.countDown();
+            stalled.countDown();
             try {
-                goOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        stands.await();
+        stalled.await();
         try {
             step.run();
         } finally {
-            goOn.countDown();
+            resume.countDown();
         }
     }
 
-    /** Writes while the answers are read: neither side waits for the other. */
+    /** Writes on another thread while the answers are read, so that neither side blocks the other. */
     private static CompletableFuture<Void> writing(Socket client, String text) {
         return CompletableFuture.runAsync(() -> {
             try {
@@ -125,24 +125,24 @@
         }
     }
 
-    /** Guards against a reset that destroys the last answers because the flood behind a bad line lies unread. */
+    /** Prevents a reset that discards the last answers because data behind a malformed line is unread. */
     @Test
-    void whatWasAnsweredBeforeAndAtAMalformedLineArrivesWholeThoughAFloodFollows() throws Exception {
+    void answersUpToMalformedLineArriveThoughMoreDataFollows() throws Exception {
         for (int i = 0; i < 20; i++) {
             Socket client = connect();
-            CompletableFuture<Void> all = writing(client, "stats\r\n".repeat(20) + "ms k1 x Oa\r\n" + FLOOD);
+            CompletableFuture<Void> all = writing(client, "stats\r\n".repeat(20) + "ms k1 x Oa\r\n" + EXCESS_DATA);
             BufferedReader answers = Rehearsal.reader(client);
             awaitStats(answers, 20);
             assertEquals("CLIENT_ERROR bad data length", answers.readLine());
             all.get(WAIT_MS, TimeUnit.MILLISECONDS);
-            assertNull(answers.readLine(), "the end, no reset");
+            assertNull(answers.readLine(), "expected close without reset");
             client.close();
         }
-        assertEquals(20, counter("client_input_malformed"), "nothing in the flood was taken for a command");
+        assertEquals(20, counter("client_input_malformed"), "data behind the malformed line was parsed as commands");
     }
 
     @Test
-    void allAnswersBeforeAQuitArriveWholeAndNothingBehindItIsPassedOn() throws Exception {
+    void answersBeforeQuitArriveAndNothingBehindItIsForwarded() throws Exception {
         for (int i = 0; i < 20; i++) {
             Socket client = connect();
             CompletableFuture<Void> all =
@@ -152,31 +152,31 @@
             assertTrue(answers.readLine().startsWith("VA 2 "));
             assertEquals("hi", answers.readLine());
             all.get(WAIT_MS, TimeUnit.MILLISECONDS);
-            assertNull(answers.readLine(), "the end, no reset");
+            assertNull(answers.readLine(), "expected close without reset");
             client.close();
         }
         assertEquals(20, cache.answered());
     }
 
-    /** Guards against a client that never stops sending: it costs bounded time and a bounded place. */
+    /** Prevents a client that sends without end or never closes from holding its link for an unlimited time. */
     @Test
-    void whoNeverStopsSendingOrNeverClosesIsLetGoSoon() throws Exception {
+    void clientThatSendsEndlesslyOrNeverClosesIsDisconnectedSoon() throws Exception {
         Socket endless = connect();
-        Socket resting = connect();
-        Rehearsal.write(resting, "quit\r\n");
-        CompletableFuture<Void> flood = writing(endless, "ms k1 x Oa\r\n" + "x".repeat(32 << 20));
-        assertEquals(-1, resting.getInputStream().read());
+        Socket idle = connect();
+        Rehearsal.write(idle, "quit\r\n");
+        CompletableFuture<Void> writer = writing(endless, "ms k1 x Oa\r\n" + "x".repeat(32 << 20));
+        assertEquals(-1, idle.getInputStream().read());
         long from = System.nanoTime();
         StandInAgent.await(() -> counter("client_input_malformed") == 1);
         StandInAgent.await(() -> counter("client_links") == 0 && counter("client_links_lingering") == 0);
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1500), "held too long");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1500), "links held too long");
         assertEquals(0, counter("client_bytes_held"));
-        StandInAgent.await(flood::isDone);
+        StandInAgent.await(writer::isDone);
     }
 
-    /** The half-sent command of a drain's last phase is refused, and its rest comes when the link has ended. */
+    /** A partly sent command is refused in the last phase of a drain, and its rest arrives after the link is closed. */
     @Test
-    void theLastAnswerOfADrainArrivesThoughMoreComesBehindIt() throws Exception {
+    void lastAnswerOfDrainArrivesThoughMoreDataFollows() throws Exception {
         Socket client = connect();
         BufferedReader answers = Rehearsal.reader(client);
         Rehearsal.write(client, read() + "ms k1 60000 Oa Pc=put,d=1900\r\nhalf");
@@ -184,15 +184,15 @@
         assertEquals("hi", answers.readLine());
         CompletableFuture<Void> stopped = router.stop();
         assertEquals("CLIENT_ERROR command not finished in time", answers.readLine());
-        Rehearsal.write(client, FLOOD);
-        assertNull(answers.readLine(), "the end, no reset");
+        Rehearsal.write(client, EXCESS_DATA);
+        assertNull(answers.readLine(), "expected close without reset");
         client.close();
         stopped.get(3, TimeUnit.SECONDS);
     }
 
-    /** Guards against a request that is read after the client was told of the end: it would be served twice. */
+    /** Prevents a request from being read after the router has closed its sending side: it would be served twice. */
     @Test
-    void whatComesAfterTheEndOfSendingIsNeverPassedOnAndMeetsNoReset() throws Exception {
+    void dataAfterHalfCloseIsNotForwardedAndCausesNoReset() throws Exception {
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             Socket client = connect();
@@ -205,29 +205,31 @@
         CompletableFuture<Void> stopped = router.stop();
         for (int i = 0; i < clients.size(); i++) {
             Socket client = clients.get(i);
-            assertEquals(-1, client.getInputStream().read(), "closed while idle");
+            assertEquals(-1, client.getInputStream().read(), "idle link not closed");
             String request = read();
             Rehearsal.write(
                     client, i % 3 == 0 ? request : i % 3 == 1 ? request.substring(0, 9) : request + read() + read());
-            // A second write meets the reset that the first one would have brought.
+            // A second write fails if the first one has caused a reset.
             assertEquals(-1, client.getInputStream().read());
             Rehearsal.write(client, "\r\n");
-            assertEquals(-1, client.getInputStream().read(), "no reset");
+            assertEquals(-1, client.getInputStream().read(), "expected close without reset");
             client.close();
         }
         stopped.get(4, TimeUnit.SECONDS);
-        assertEquals(answered, cache.answered(), "passed on after the end");
+        assertEquals(answered, cache.answered(), "request forwarded after the close");
     }
 
-    /** Clients that ask without a pause while their links leave: each answer is whole, or there is none and the end. */
+    /**
+     * Clients send without pause while the router closes their links: each request gets a complete answer or the close.
+     */
     @Test
-    void whatComesInTheInstantOfAnIdleCloseIsAnsweredWholeOrNotAtAll() throws Exception {
+    void requestsDuringIdleCloseAreAnsweredCompletelyOrNotAtAll() throws Exception {
         List<CompletableFuture<Long>> all = new ArrayList<>();
         for (int c = 0; c < 12; c++) {
             Socket client = connect();
             int number = c;
             all.add(CompletableFuture.supplyAsync(
-                    () -> askedUntilTheEnd(client, number, 1 + number % 3), command -> new Thread(command).start()));
+                    () -> requestUntilClose(client, number, 1 + number % 3), command -> new Thread(command).start()));
         }
         StandInAgent.await(() -> cache.answered() > 200);
         CompletableFuture<Void> stopped = router.stop();
@@ -236,26 +238,26 @@
             answered += one.get(10, TimeUnit.SECONDS);
         }
         stopped.get(4, TimeUnit.SECONDS);
-        assertEquals(counter("client_commands_get"), answered, "taken, and answered whole");
+        assertEquals(counter("client_commands_get"), answered, "commands read, but not answered completely");
     }
 
-    /** So many in a row at a time; returns how many were answered. */
-    private static long askedUntilTheEnd(Socket client, int number, int atOnce) {
+    /** Sends batches of requests until the link closes and returns the number of answers. */
+    private static long requestUntilClose(Socket client, int number, int batchSize) {
         long answered = 0;
         try (client) {
             BufferedReader answers = Rehearsal.reader(client);
             for (int n = 0; ; n++) {
                 StringBuilder text = new StringBuilder();
-                for (int i = 0; i < atOnce; i++) {
+                for (int i = 0; i < batchSize; i++) {
                     text.append("mg k%d v Oy%dz%dz%d Pc=read,t=x,d=1900\r\n".formatted(number, number, n, i));
                 }
                 Rehearsal.write(client, text.toString());
-                for (int i = 0; i < atOnce; i++) {
+                for (int i = 0; i < batchSize; i++) {
                     String line = answers.readLine();
                     if (line == null && i == 0) {
                         return answered;
                     }
-                    assertTrue(line != null, "some of what came at once were answered, and others not");
+                    assertTrue(line != null, "only part of a batch was answered");
                     if (line.startsWith("VA 2 ")) {
                         assertEquals("hi", answers.readLine());
                     } else {
@@ -265,13 +267,15 @@
                 }
             }
         } catch (IOException e) {
-            throw new AssertionError("a reset", e);
+            throw new AssertionError("connection reset", e);
         }
     }
 
-    /** Guards against attempts for who has gone: nobody read behind 128 commands, and so nobody saw the end. */
+    /**
+     * Prevents executions for a disconnected client: reading stopped after 128 commands, so its close was not detected.
+     */
     @Test
-    void whoPipelinesMoreThanIsTakenAndClosesIsSeenToHaveGone() throws Exception {
+    void closeBehindTooManyPipelinedCommandsIsDetected() throws Exception {
         cache.hold(true);
         Socket client = connect();
         StringBuilder text = new StringBuilder();
@@ -281,21 +285,21 @@
         Rehearsal.write(client, text.toString());
         cache.awaitHeld(cache);
         StandInAgent.await(() -> counter("client_commands_get") >= 128);
-        assertEquals(128, counter("client_commands_get"), "no more than that are taken");
+        assertEquals(128, counter("client_commands_get"), "more than 128 commands read");
         assertTrue(counter("requests_unanswered") > 0);
         long from = System.nanoTime();
-        // The end comes behind bytes for which there is no room among the commands.
+        // The close follows bytes that exceed the limit of open commands.
         Rehearsal.write(client, read() + read() + read());
         client.close();
         StandInAgent.await(() -> counter("requests_unanswered") == 0 && counter("client_links") == 0);
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(500), "seen too late");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(500), "close detected too late");
         assertTrue(counter("requests_client_gone") > 0);
-        assertEquals(128, counter("client_commands_get"), "what was read behind them is not taken");
+        assertEquals(128, counter("client_commands_get"), "commands beyond the limit were executed");
     }
 
-    /** What a link reads behind the commands that it may take is bounded, and is taken and served in its turn. */
+    /** Input beyond the limit of open commands is buffered within a bound, and later executed in order. */
     @Test
-    void whatWaitsBehindTheMostThatIsTakenIsServedInOrderAndHoldsLittle() throws Exception {
+    void commandsBeyondLimitAreServedInOrderWithBoundedBuffer() throws Exception {
         cache.hold(true);
         Socket client = connect();
         StringBuilder text = new StringBuilder();
@@ -323,7 +327,7 @@
     }
 
     @Test
-    void aHundredClientsThatLeaveInOneTurnAreAllSeenToHaveGone() throws Exception {
+    void hundredDisconnectsInOneLoopTurnAreAllDetected() throws Exception {
         cache.hold(true);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -332,7 +336,7 @@
             Rehearsal.write(client, read());
         }
         StandInAgent.await(() -> counter("client_commands_get") == 100);
-        inOneTurn(() -> {
+        inOneLoopTurn(() -> {
             for (Socket client : clients) {
                 client.close();
             }
--- a/router/src/test/java/stagepier/app/ConsoleCaller.java
+++ b/router/src/test/java/stagepier/app/ConsoleClient.java
@@ -7,26 +7,26 @@
 import java.net.InetAddress;
 import java.net.Socket;
 
-/** A member of staff at the console of a router on loopback: one line a connection. */
-final class ConsoleCaller {
-    /** A caller waits for so long, however busy the router is. */
-    private static final int ANSWER_MOST_MS = 1000;
+/** A console client on loopback that sends one line per connection. */
+final class ConsoleClient {
+    /** Time-out of a call, even to a busy router. */
+    private static final int ANSWER_TIMEOUT_MS = 1000;
 
-    private ConsoleCaller() {}
+    private ConsoleClient() {}
 
-    /** The answer to a call. */
+    /** Sends a line and returns the answer. */
     static String call(int port, String line) throws IOException {
         return raw(port, line + "\n");
     }
 
-    /** The one line that comes for these bytes. */
+    /** Sends bytes and returns the answer, which must be a single line. */
     static String raw(int port, String bytes) throws IOException {
         try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            caller.setSoTimeout(ANSWER_MOST_MS);
+            caller.setSoTimeout(ANSWER_TIMEOUT_MS);
             Rehearsal.write(caller, bytes);
             BufferedReader in = Rehearsal.reader(caller);
             String answer = in.readLine();
-            assertNull(in.readLine(), "one line, and the end");
+            assertNull(in.readLine(), "more than one line");
             return answer;
         }
     }
--- a/router/src/test/java/stagepier/app/Drains.java
+++ b/router/src/test/java/stagepier/app/DrainStates.java
@@ -2,11 +2,11 @@
 
 import stagepier.drain.Drain;
 
-/** States of a process, for tests in which it does not change. */
-final class Drains {
-    private Drains() {}
+/** Drain states for tests in which the state does not change. */
+final class DrainStates {
+    private DrainStates() {}
 
-    /** Of one that serves. */
+    /** Returns the state of a serving process. */
     static Drain serving() {
         Drain drain = new Drain();
         drain.started();
--- a/router/src/test/java/stagepier/app/DrainTimeLimitTest.java
+++ b/router/src/test/java/stagepier/app/DrainTimeLimitTest.java
@@ -18,19 +18,22 @@
 import stagepier.app.SyscallFaults.Call;
 import stagepier.app.SyscallFaults.Failure;
 
-/** A real process that staff tell to drain: 4 s after the call no client may be held idle, or with a request of the last 2 s. */
+/**
+ * Drain of a router process by a console command: 4 s later no client link may be open that is idle or that carries a
+ * request of the last 2 s.
+ */
 @Timeout(60)
 class DrainTimeLimitTest {
-    private static final int GONE_WITHIN_MS = 4000;
-    /** After SIGTERM a process may be killed: the longest deadline of these settings and 0.7 s. */
-    private static final int KILLED_AFTER_MS = 2700;
-    /** Between two pieces of a client that writes slowly. */
-    private static final int PIECE_MS = 100;
+    private static final int DRAIN_LIMIT_MS = 4000;
+    /** Earliest time of SIGKILL after SIGTERM: the longest deadline of these settings plus 0.7 s. */
+    private static final int KILL_AFTER_MS = 2700;
+    /** Interval between the writes of a slow client. */
+    private static final int WRITE_INTERVAL_MS = 100;
 
     private static final int READ_TIMEOUT_MS = 20;
-    /** From here on a request counts as one of the last 2 s. */
+    /** Time after which a request counts as one of the last 2 s. */
     private static final int REQUEST_AFTER_MS = 2200;
-    /** So late that its answer, from a server that gives none, is not due by the end of the drain. */
+    /** Late enough that the deadline of a request without an answer falls after the end of the drain. */
     private static final int LATE_REQUEST_AFTER_MS = 3500;
 
     @TempDir
@@ -62,13 +65,13 @@
 
     private void startServing() throws Exception {
         startRouter();
-        StandInAgent.await(() -> router.says("STATUS").startsWith("OK"));
+        StandInAgent.await(() -> router.callConsole("STATUS").startsWith("OK"));
     }
 
-    /** When it was told to, as {@link System#nanoTime} has it. */
+    /** Sends PAUSE and returns the time of the call by {@link System#nanoTime}. */
     private long pause() throws IOException {
         long at = System.nanoTime();
-        assertTrue(ConsoleCaller.call(router.console(), "PAUSE").startsWith("OK"));
+        assertTrue(ConsoleClient.call(router.console(), "PAUSE").startsWith("OK"));
         return at;
     }
 
@@ -76,8 +79,8 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    /** Reads answers for a moment; returns whether the connection was ended. */
-    private static boolean isEnded(Socket client) throws IOException {
+    /** Reads answers until a short time-out and returns whether the connection was closed. */
+    private static boolean isClosed(Socket client) throws IOException {
         client.setSoTimeout(READ_TIMEOUT_MS);
         try {
             byte[] answers = new byte[4096];
@@ -93,10 +96,11 @@
         }
     }
 
-    /** Writes on and on until the connection is ended or its time is over; returns whether it was ended in time. */
-    private static boolean endsWhileItWrites(Socket client, long pausedAt, String first, String more) throws Exception {
+    /** Writes until the connection is closed or the drain limit is reached; returns whether it was closed in time. */
+    private static boolean closesWhileWriting(Socket client, long pausedAt, String first, String more)
+            throws Exception {
         String next = first;
-        while (millisSince(pausedAt) < GONE_WITHIN_MS) {
+        while (millisSince(pausedAt) < DRAIN_LIMIT_MS) {
             try {
                 Rehearsal.write(client, next);
             } catch (IOException e) {
@@ -104,8 +108,8 @@
             }
             next = more;
             long wroteAt = System.nanoTime();
-            while (millisSince(wroteAt) < PIECE_MS) {
-                if (isEnded(client)) {
+            while (millisSince(wroteAt) < WRITE_INTERVAL_MS) {
+                if (isClosed(client)) {
                     return true;
                 }
             }
@@ -118,24 +122,24 @@
     }
 
     @Test
-    void aProcessPausedWhileItStartsSendsAwayWhoComesOnceItListens() throws Exception {
+    void processPausedDuringStartRefusesClientsOnceItListens() throws Exception {
         agent.silent(true);
         startRouter();
-        StandInAgent.await(() -> router.says("PAUSE").startsWith("OK"));
-        assertEquals("ERR starting", router.says("STATUS"), "the call came before it listened");
+        StandInAgent.await(() -> router.callConsole("PAUSE").startsWith("OK"));
+        assertEquals("ERR starting", router.callConsole("STATUS"), "the router listened before the command");
         agent.silent(false);
-        StandInAgent.await(() -> router.says("STATUS").startsWith("ERR paused"));
+        StandInAgent.await(() -> router.callConsole("STATUS").startsWith("ERR paused"));
         try (Socket client = router.connect()) {
-            client.setSoTimeout(GONE_WITHIN_MS);
+            client.setSoTimeout(DRAIN_LIMIT_MS);
             Rehearsal.write(client, "mn\r\n");
             BufferedReader answers = Rehearsal.reader(client);
             assertEquals("SERVER_ERROR draining", answers.readLine());
-            assertNull(answers.readLine(), "ended");
+            assertNull(answers.readLine(), "connection not closed");
         }
     }
 
     @Test
-    void aPausedProcessThatIsToldToEndStillSaysNo() throws Exception {
+    void pausedProcessStillFailsProbesAfterSigterm() throws Exception {
         startServing();
         cache.hold(true);
         try (Socket busy = router.connect()) {
@@ -143,7 +147,7 @@
             StandInAgent.await(() -> !cache.commands().isEmpty());
             pause();
             router.signal("TERM");
-            StandInAgent.await(() -> router.says("STATUS").startsWith("ERR ending"));
+            StandInAgent.await(() -> router.callConsole("STATUS").startsWith("ERR ending"));
             assertEquals("SERVER_ERROR draining", router.ask("mn"));
             cache.hold(false);
             assertEquals("VA 2 Oa", Rehearsal.reader(busy).readLine());
@@ -151,14 +155,14 @@
     }
 
     @Test
-    void aProcessThatEndsSaysNoOnceItIsPaused() throws Exception {
+    void endingProcessFailsProbesOnceItIsPaused() throws Exception {
         startServing();
         cache.hold(true);
         try (Socket busy = router.connect()) {
             Rehearsal.write(busy, read("a"));
             StandInAgent.await(() -> !cache.commands().isEmpty());
             router.signal("TERM");
-            StandInAgent.await(() -> router.says("STATUS").startsWith("ERR ending"));
+            StandInAgent.await(() -> router.callConsole("STATUS").startsWith("ERR ending"));
             pause();
             assertEquals("SERVER_ERROR draining", router.ask("mn"));
             cache.hold(false);
@@ -167,50 +171,51 @@
     }
 
     @Test
-    void aClientWithPartOfItsNextCommandAlwaysThereIsSentAway() throws Exception {
+    void clientThatAlwaysHasPartialCommandIsDisconnected() throws Exception {
         startServing();
         try (Socket client = router.connect()) {
             Rehearsal.write(client, read("a"));
             assertEquals("VA 2 Oa", Rehearsal.reader(client).readLine());
             long at = pause();
-            // Each piece ends one command and begins the next.
-            assertTrue(endsWhileItWrites(client, at, "hel", "lo\r\nhel"), "held " + millisSince(at) + " ms");
+            // Each write ends one command and starts the next.
+            assertTrue(
+                    closesWhileWriting(client, at, "hel", "lo\r\nhel"), "link open after " + millisSince(at) + " ms");
         }
     }
 
     @Test
-    void aProcessThatEndsIsGoneBeforeItMayBeKilledThoughAClientGoesOnSending() throws Exception {
+    void processExitsBeforeKillThoughClientKeepsSending() throws Exception {
         startServing();
         try (Socket client = router.connect()) {
             Rehearsal.write(client, read("a"));
             assertEquals("VA 2 Oa", Rehearsal.reader(client).readLine());
             long at = System.nanoTime();
             router.signal("TERM");
-            assertTrue(endsWhileItWrites(client, at, "hel", "lo\r\nhel"));
+            assertTrue(closesWhileWriting(client, at, "hel", "lo\r\nhel"));
             assertEquals(0, router.exitCode());
-            assertTrue(millisSince(at) <= KILLED_AFTER_MS, "ended after " + millisSince(at) + " ms");
+            assertTrue(millisSince(at) <= KILL_AFTER_MS, "exited after " + millisSince(at) + " ms");
         }
     }
 
     @Test
-    void aRequestOfTheLastTwoSecondsOnANewConnectionIsTurnedAway() throws Exception {
+    void requestOfLastTwoSecondsOnNewConnectionIsRefused() throws Exception {
         startServing();
         cache.hold(true);
         long at = pause();
         StandInAgent.await(() -> millisSince(at) > LATE_REQUEST_AFTER_MS);
         try (Socket client = router.connect()) {
             Rehearsal.write(client, read("late"));
-            StandInAgent.await(() -> millisSince(at) > GONE_WITHIN_MS);
-            assertTrue(isEnded(client), "held with a request of the last 2 s");
+            StandInAgent.await(() -> millisSince(at) > DRAIN_LIMIT_MS);
+            assertTrue(isClosed(client), "link with a request of the last 2 s not closed");
         }
     }
 
     @Test
-    void aRequestOnAConnectionThatIsAcceptedLateIsNotHeldPastTheTimeAllowed() throws Exception {
+    void requestOnLateAcceptedConnectionIsNotHeldPastLimit() throws Exception {
         startServing();
         cache.hold(true);
         try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), router.console())) {
-            // Whoever came before it was accepted by the time of this answer.
+            // All earlier connections have been accepted when this answer arrives.
             assertEquals("MN", router.ask("mn"));
             faults.next(Call.ACCEPT, Failure.ENFILE, Integer.MAX_VALUE);
             try (Socket client = router.connect()) {
@@ -221,14 +226,14 @@
                 StandInAgent.await(() -> millisSince(at) > REQUEST_AFTER_MS);
                 Rehearsal.write(client, read("late"));
                 faults.next(Call.ACCEPT, Failure.ENFILE, 0);
-                StandInAgent.await(() -> millisSince(at) > GONE_WITHIN_MS);
-                assertTrue(isEnded(client), "held with a request of the last 2 s");
+                StandInAgent.await(() -> millisSince(at) > DRAIN_LIMIT_MS);
+                assertTrue(isClosed(client), "link with a request of the last 2 s not closed");
             }
         }
     }
 
     @Test
-    void afterAResumeALinkThatTheDrainHadCaughtServesAsBefore() throws Exception {
+    void drainingLinkServesNormallyAfterResume() throws Exception {
         startServing();
         cache.hold(true);
         try (Socket client = router.connect()) {
@@ -236,9 +241,9 @@
             Rehearsal.write(client, read("a"));
             StandInAgent.await(() -> !cache.commands().isEmpty());
             long at = pause();
-            // Past the moment from which on a drain turns away what comes.
+            // Later than the time from which a drain refuses new requests.
             StandInAgent.await(() -> millisSince(at) > 1400);
-            assertEquals("OK clients may come", ConsoleCaller.call(router.console(), "RESUME"));
+            assertEquals("OK clients may come", ConsoleClient.call(router.console(), "RESUME"));
             Rehearsal.write(client, read("b"));
             cache.hold(false);
             assertEquals("VA 2 Oa", answers.readLine());
--- a/router/src/test/java/stagepier/app/FleetFaultSoakTest.java
+++ b/router/src/test/java/stagepier/app/FleetFaultSoakTest.java
@@ -18,20 +18,21 @@
 import stagepier.app.SyscallFaults.Fault;
 
 /**
- * Ten real processes or more, whose drains, restarts, signals, system calls, cache servers and discovery fail at times that overlap and are
- * drawn by a seed, under clients of five manners. One seed in a build; more by {@code -Dstagepier.fleet.seeds=N}, from
- * {@code -Dstagepier.fleet.first=N} on, with {@code -Dstagepier.fleet.routers=N} processes for {@code -Dstagepier.fleet.seconds=N}.
+ * Soak test of ten or more router processes with overlapping drains, restarts, signals and failures of system calls,
+ * cache servers and discovery, drawn from a seed, under clients with five kinds of behaviour. Runs one seed in a build;
+ * {@code -Dstagepier.fleet.seeds=N} sets their number, {@code -Dstagepier.fleet.first=N} the first one,
+ * {@code -Dstagepier.fleet.routers=N} the number of processes and {@code -Dstagepier.fleet.seconds=N} the duration.
  */
 @Timeout(180)
 class FleetFaultSoakTest {
     private static final int ROUTERS = Integer.getInteger("stagepier.fleet.routers", 10);
     private static final int SECONDS = Integer.getInteger("stagepier.fleet.seconds", 25);
-    private static final int FAULTS_MOST = 12;
-    private static final int FAULT_EVERY_MS = 60;
-    private static final int CLOCK_STEP_MOST_S = 3600;
+    private static final int MAX_FAULTS = 12;
+    private static final int FAULT_INTERVAL_MS = 60;
+    private static final int MAX_CLOCK_STEP_S = 3600;
 
-    /** Lines of a log that no process may write. */
-    private static final List<String> FAULTS_OF_LOG =
+    /** Texts that must not occur in the log of a process. */
+    private static final List<String> FORBIDDEN_LOG_TEXTS =
             List.of(" ERROR ", "globalEventExecutor", "had no answer in time", "xceptionCaught", "xception was thrown");
 
     @TempDir
@@ -49,7 +50,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void noRuleIsBrokenUnderFaultsThatOverlap(long seed) throws Exception {
+    void noViolationUnderOverlappingFaults(long seed) throws Exception {
         Random random = new Random(seed);
         try (StandInAgent agent = new StandInAgent();
                 StandInCache one = new StandInCache();
@@ -68,25 +69,25 @@
             for (SoakRouter router : routers) {
                 router.awaitReady();
             }
-            play(agent, random);
+            runLoad(agent, random);
             for (SoakRouter router : routers) {
-                router.end(() -> FAULTS_OF_LOG);
+                router.stop(() -> FORBIDDEN_LOG_TEXTS);
             }
             ledger.checkForwarded(caches);
-            assertEquals(List.of(), ledger.broken(), "seed " + seed);
+            assertEquals(List.of(), ledger.violations(), "seed " + seed);
             long served = caches.stream().mapToLong(StandInCache::answered).sum();
-            assertTrue(served > (long) ROUTERS * SECONDS, "hardly anything was served: " + served);
+            assertTrue(served > (long) ROUTERS * SECONDS, "too few requests were served: " + served);
         } finally {
             routers.forEach(SoakRouter::close);
         }
     }
 
-    private void play(StandInAgent agent, Random random) throws InterruptedException {
+    private void runLoad(StandInAgent agent, Random random) throws InterruptedException {
         ExecutorService threads = Executors.newCachedThreadPool();
         for (SoakRouter router : routers) {
-            for (SoakClient.Manner manner : SoakClient.Manner.values()) {
-                String name = "r" + routers.indexOf(router) + manner.name().toLowerCase(java.util.Locale.ROOT);
-                SoakClient client = new SoakClient(name, manner, router, ledger, random.nextLong(), () -> over);
+            for (SoakClient.Behaviour behaviour : SoakClient.Behaviour.values()) {
+                String name = "r" + routers.indexOf(router) + behaviour.name().toLowerCase(java.util.Locale.ROOT);
+                SoakClient client = new SoakClient(name, behaviour, router, ledger, random.nextLong(), () -> over);
                 router.add(client);
                 threads.execute(client);
             }
@@ -94,25 +95,25 @@
         routers.forEach(threads::execute);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
         while (System.nanoTime() < end) {
-            fail(agent, random);
-            TimeUnit.MILLISECONDS.sleep(FAULT_EVERY_MS);
+            injectFault(agent, random);
+            TimeUnit.MILLISECONDS.sleep(FAULT_INTERVAL_MS);
         }
         agent.silent(false);
         caches.forEach(cache -> cache.hold(false));
         over = true;
         threads.shutdown();
-        assertTrue(threads.awaitTermination(60, TimeUnit.SECONDS), "the soak does not end");
+        assertTrue(threads.awaitTermination(60, TimeUnit.SECONDS), "the soak threads did not stop within 60 s");
     }
 
-    private void fail(StandInAgent agent, Random random) {
+    private void injectFault(StandInAgent agent, Random random) {
         SoakRouter router = routers.get(random.nextInt(routers.size()));
         switch (random.nextInt(12)) {
             case 0 -> agent.silent(random.nextBoolean());
             case 1 -> caches.get(random.nextInt(caches.size())).hold(random.nextInt(3) == 0);
-            case 2 -> router.faults().stepWallClock(random.nextInt(2 * CLOCK_STEP_MOST_S) - CLOCK_STEP_MOST_S);
+            case 2 -> router.faults().stepWallClock(random.nextInt(2 * MAX_CLOCK_STEP_S) - MAX_CLOCK_STEP_S);
             default -> {
                 Fault fault = SyscallFaults.HARMLESS.get(random.nextInt(SyscallFaults.HARMLESS.size()));
-                router.faults().next(fault.call(), fault.failure(), 1 + random.nextInt(FAULTS_MOST));
+                router.faults().next(fault.call(), fault.failure(), 1 + random.nextInt(MAX_FAULTS));
             }
         }
     }
--- a/router/src/test/java/stagepier/app/IgnoredSignalTest.java
+++ b/router/src/test/java/stagepier/app/IgnoredSignalTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against a SIGHUP that does nothing, and nobody is told: a JVM leaves it ignored where its starter did, as by nohup. */
+/** A JVM keeps SIGHUP ignored if its parent process ignored it, for example under nohup; the router must log that. */
 @Timeout(60)
 class IgnoredSignalTest {
-    /** How often the program says that SIGHUP is ignored; without a configuration it ends by itself. */
-    private static int saysIgnored(String shell) throws IOException, InterruptedException {
+    /** Returns how often the router logs that SIGHUP is ignored; without a configuration it exits by itself. */
+    private static int countWarnings(String shell) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(
                         "/bin/sh",
                         "-c",
@@ -22,15 +22,15 @@
                         System.getProperty("java.class.path"))
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(true, process.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(78, process.exitValue(), said);
-        return said.split("SIGHUP is ignored", -1).length - 1;
+        assertEquals(78, process.exitValue(), output);
+        return output.split("SIGHUP is ignored", -1).length - 1;
     }
 
     @Test
-    void itIsSaidWhereSighupIsIgnoredAndOnlyThere() throws IOException, InterruptedException {
-        assertEquals(1, saysIgnored("trap '' HUP;"));
-        assertEquals(0, saysIgnored(""));
+    void warningIsLoggedOnlyIfSighupIsIgnored() throws IOException, InterruptedException {
+        assertEquals(1, countWarnings("trap '' HUP;"));
+        assertEquals(0, countWarnings(""));
     }
 }
--- a/router/src/test/java/stagepier/app/LargeValueTest.java
+++ b/router/src/test/java/stagepier/app/LargeValueTest.java
@@ -21,12 +21,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router with a small heap, between a cache server with large values and clients that read them as they like. */
+/**
+ * A router process with a small heap between a cache server with large values and clients that read at varying speed.
+ */
 @Timeout(60)
 class LargeValueTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final int WAIT_MS = 8000;
-    private static final int LARGE = 4 << 20;
+    private static final int LARGE_LENGTH = 4 << 20;
     private static final byte[] VALUE = value();
     private static final String CONFIG = """
             {"listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1","limits":{"sockets":512},"settings":{
@@ -46,8 +48,8 @@
     private int port;
 
     private static byte[] value() {
-        byte[] value = new byte[LARGE];
-        for (int i = 0; i < LARGE; i++) {
+        byte[] value = new byte[LARGE_LENGTH];
+        for (int i = 0; i < LARGE_LENGTH; i++) {
             value[i] = (byte) (i % 251);
         }
         return value;
@@ -124,16 +126,16 @@
         return line.length() == 0 ? null : line.toString();
     }
 
-    private static void assertWhole(String id, InputStream in) throws IOException {
-        assertEquals("VA " + LARGE + " O" + id, line(in));
-        byte[] got = in.readNBytes(LARGE);
-        assertTrue(java.util.Arrays.equals(VALUE, got), "a value was spoilt on its way");
+    private static void assertValueReceived(String id, InputStream in) throws IOException {
+        assertEquals("VA " + LARGE_LENGTH + " O" + id, line(in));
+        byte[] got = in.readNBytes(LARGE_LENGTH);
+        assertTrue(java.util.Arrays.equals(VALUE, got), "value corrupted in transit");
         assertEquals("", line(in));
     }
 
-    /** 30 values of 4 MiB are four times the heap; nobody reads any of them before all have been asked for. */
+    /** 30 values of 4 MiB are four times the heap; the first six are read only after all six have been requested. */
     @Test
-    void manyLargeValuesAtSlowReadersStayWithinASmallHeapAndDelayNobodyElse() throws Exception {
+    void manyLargeValuesForSlowReadersFitInSmallHeapWithoutDelayingOthers() throws Exception {
         start();
         Rehearsal.daemon(() -> {
             while (true) {
@@ -143,7 +145,7 @@
                     for (String l = asked.readLine(); l != null; l = asked.readLine()) {
                         String id = l.split(" ")[3];
                         boolean small = id.startsWith("Os");
-                        Rehearsal.write(link, "VA " + (small ? 2 : LARGE) + " " + id + " h1\r\n");
+                        Rehearsal.write(link, "VA " + (small ? 2 : LARGE_LENGTH) + " " + id + " h1\r\n");
                         link.getOutputStream().write(small ? "hi".getBytes(StandardCharsets.US_ASCII) : VALUE);
                         Rehearsal.write(link, "\r\n");
                     }
@@ -153,72 +155,72 @@
         List<Socket> readers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             readers.add(ask("r" + i));
-            // One that is on its way keeps the next one off its link.
+            // A value in transit keeps the next request off its link.
             assertEquals('V', readers.get(i).getInputStream().read());
         }
         for (int i = 0; i < 6; i++) {
             InputStream in = readers.get(i).getInputStream();
-            assertWhole(
+            assertValueReceived(
                     "r" + i, new java.io.SequenceInputStream(new java.io.ByteArrayInputStream(new byte[] {'V'}), in));
         }
         for (int n = 0; n < 24; n++) {
-            assertWhole("t" + n, ask("t" + n).getInputStream());
+            assertValueReceived("t" + n, ask("t" + n).getInputStream());
         }
         assertEquals("VA 2 Os1", line(ask("s1").getInputStream()));
         assertTrue(router.isAlive());
     }
 
     @Test
-    void theFirstBytesAreThereAtOnceAndTheRestComesHoweverSlowly() throws Exception {
+    void firstBytesAreForwardedAtOnceAndRestFollowsSlowly() throws Exception {
         start();
         Socket client = ask("a");
         Socket link = accept();
         assertTrue(line(link.getInputStream()).startsWith("mg ka "));
-        Rehearsal.write(link, "VA " + LARGE + " Oa h1\r\n");
+        Rehearsal.write(link, "VA " + LARGE_LENGTH + " Oa h1\r\n");
         link.getOutputStream().write(VALUE, 0, 1000);
         InputStream in = client.getInputStream();
-        assertEquals("VA " + LARGE + " Oa", line(in));
+        assertEquals("VA " + LARGE_LENGTH + " Oa", line(in));
         assertEquals(VALUE[0], (byte) in.read());
-        // Longer than any small answer may rest, and than the request's own time.
-        for (int at = 1000, n = 0; at < LARGE; n++) {
-            int piece = n < 4 ? 7 : LARGE - at;
+        // Longer than the time-out for a gap in a small answer and than the deadline of the request.
+        for (int at = 1000, n = 0; at < LARGE_LENGTH; n++) {
+            int piece = n < 4 ? 7 : LARGE_LENGTH - at;
             Thread.sleep(n < 4 ? 600 : 0);
             link.getOutputStream().write(VALUE, at, piece);
             at += piece;
         }
         Rehearsal.write(link, "\r\n");
-        byte[] rest = in.readNBytes(LARGE - 1);
-        assertTrue(java.util.Arrays.equals(VALUE, 1, LARGE, rest, 0, LARGE - 1));
+        byte[] rest = in.readNBytes(LARGE_LENGTH - 1);
+        assertTrue(java.util.Arrays.equals(VALUE, 1, LARGE_LENGTH, rest, 0, LARGE_LENGTH - 1));
         assertEquals("", line(in));
         Rehearsal.write(client, "mn\r\n");
-        assertEquals("MN", line(in), "the client's connection is good for more");
+        assertEquals("MN", line(in), "the client link cannot be reused");
     }
 
     @Test
-    void aValueThatBreaksOffOrEndsSpoiltIsSeenNotToBeWhole() throws Exception {
+    void truncatedOrCorruptValueIsDetectedByClient() throws Exception {
         start();
-        for (boolean spoilt : new boolean[] {false, true}) {
-            String id = "b" + spoilt;
+        for (boolean corrupt : new boolean[] {false, true}) {
+            String id = "b" + corrupt;
             Socket client = ask(id);
             Socket link = accept();
             line(link.getInputStream());
             Rehearsal.write(link, "VA 100000 O" + id + " h1\r\n");
-            link.getOutputStream().write(VALUE, 0, spoilt ? 100_000 : 70_000);
+            link.getOutputStream().write(VALUE, 0, corrupt ? 100_000 : 70_000);
             InputStream in = client.getInputStream();
             assertEquals("VA 100000 O" + id, line(in));
-            if (spoilt) {
+            if (corrupt) {
                 Rehearsal.write(link, "XX");
             } else {
                 link.close();
             }
             byte[] got = in.readAllBytes();
-            assertTrue(got.length <= 100_000, "the end of the value was made up");
+            assertTrue(got.length <= 100_000, "the router padded the value");
         }
     }
 
-    /** Guards against a client that waits past its time for a server that stopped for good, with neither answer nor end. */
+    /** Prevents a client from waiting past its deadline, without answer or close, for a server that stopped sending. */
     @Test
-    void aValueThatStopsForGoodIsBrokenOffWhenItsTimeIsUp() throws Exception {
+    void stalledValueIsAbortedAtDeadline() throws Exception {
         start();
         long from = System.nanoTime();
         Socket client = ask("c");
@@ -228,69 +230,69 @@
         link.getOutputStream().write(VALUE, 0, 70_000);
         InputStream in = client.getInputStream();
         assertEquals("VA 100000 Oc", line(in));
-        assertTrue(in.readAllBytes().length <= 70_000, "all that the server gave, and the end");
+        assertTrue(in.readAllBytes().length <= 70_000, "more bytes than the server sent");
         double took = (System.nanoTime() - from) / 1e9;
-        assertTrue(took < 1.9 + 0.5, "the end came after " + took + " s");
+        assertTrue(took < 1.9 + 0.5, "the link was closed after " + took + " s");
     }
 
-    /** Guards against a value that has only begun when its time is up, and is cut off at its server's first rest. */
+    /** Prevents truncation, at the first gap in sending, of a value that starts just before its deadline. */
     @Test
-    void aValueThatBeginsAsItsTimeRunsOutIsWaitedForWhileItIsNotLate() throws Exception {
+    void valueThatStartsJustBeforeDeadlineIsCompleted() throws Exception {
         start();
         long from = System.nanoTime();
         Socket client = ask("f");
         Socket link = accept();
         line(link.getInputStream());
-        // 30 ms before the time is up; then one rest that is longer than a small answer may make.
+        // Starts shortly before the deadline; the gap then exceeds the limit for small answers.
         Thread.sleep(1850 - (System.nanoTime() - from) / 1_000_000);
-        Rehearsal.write(link, "VA " + LARGE + " Of h1\r\n");
+        Rehearsal.write(link, "VA " + LARGE_LENGTH + " Of h1\r\n");
         link.getOutputStream().write(VALUE, 0, 1000);
         Thread.sleep(380);
-        link.getOutputStream().write(VALUE, 1000, LARGE - 1000);
+        link.getOutputStream().write(VALUE, 1000, LARGE_LENGTH - 1000);
         Rehearsal.write(link, "\r\n");
-        assertWhole("f", client.getInputStream());
+        assertValueReceived("f", client.getInputStream());
     }
 
-    /** Guards against bytes behind a large value that are served to its client as the answer to what it asks next. */
+    /** Prevents bytes behind a large value from being sent to its client as the answer to the next request. */
     @Test
-    void whatComesBehindALargeValueEndsTheLinkAndTheNextRequestGoesElsewhere() throws Exception {
+    void bytesBehindLargeValueCloseLinkAndNextRequestUsesAnother() throws Exception {
         start();
         Socket client = ask("e");
         Socket link = accept();
         assertTrue(line(link.getInputStream()).startsWith("mg ke "));
-        Rehearsal.write(link, "VA " + LARGE + " Oe h1\r\n");
+        Rehearsal.write(link, "VA " + LARGE_LENGTH + " Oe h1\r\n");
         link.getOutputStream().write(VALUE, 0, 1000);
         InputStream in = client.getInputStream();
-        assertEquals("VA " + LARGE + " Oe", line(in));
-        // Asked while the value is on its way: it is not taken before that has ended.
+        assertEquals("VA " + LARGE_LENGTH + " Oe", line(in));
+        // Sent while the value is in transit; the router does not process it before the value has ended.
         Rehearsal.write(client, "mg kf v Of Pc=read,d=1900\r\n");
         Rehearsal.daemon(() -> {
-            link.getOutputStream().write(VALUE, 1000, LARGE - 1000);
+            link.getOutputStream().write(VALUE, 1000, LARGE_LENGTH - 1000);
             Rehearsal.write(link, "\r\nVA 1 Of h1\r\nX\r\n");
         });
-        assertTrue(java.util.Arrays.equals(VALUE, in.readNBytes(LARGE)), "a value was spoilt on its way");
+        assertTrue(java.util.Arrays.equals(VALUE, in.readNBytes(LARGE_LENGTH)), "value corrupted in transit");
         assertEquals("", line(in));
         Socket next = accept();
         assertTrue(line(next.getInputStream()).startsWith("mg kf "), "on another link");
-        assertNull(line(link.getInputStream()), "of no further use");
+        assertNull(line(link.getInputStream()), "the link was not closed");
         Rehearsal.write(next, "VA 1 Of h1\r\n2\r\n");
         assertEquals("VA 1 Of", line(in));
         assertEquals("2", line(in));
     }
 
-    /** Guards against bytes of one client's value that another gets, and against a link that is lost with its client. */
+    /** Prevents bytes of one client's value from reaching another client, and the loss of the link with its client. */
     @Test
-    void theRestForAClientThatIsGoneIsPassedOverAndTheLinkServesTheNext() throws Exception {
+    void remainderForDisconnectedClientIsDiscardedAndLinkIsReused() throws Exception {
         start();
         Socket client = ask("c");
         Socket link = accept();
         line(link.getInputStream());
-        Rehearsal.write(link, "VA " + LARGE + " Oc h1\r\n");
+        Rehearsal.write(link, "VA " + LARGE_LENGTH + " Oc h1\r\n");
         link.getOutputStream().write(VALUE, 0, 100_000);
-        assertEquals("VA " + LARGE + " Oc", line(client.getInputStream()));
+        assertEquals("VA " + LARGE_LENGTH + " Oc", line(client.getInputStream()));
         client.setSoLinger(true, 0);
         client.close();
-        link.getOutputStream().write(VALUE, 100_000, LARGE - 100_000);
+        link.getOutputStream().write(VALUE, 100_000, LARGE_LENGTH - 100_000);
         Rehearsal.write(link, "\r\n");
         Thread.sleep(100);
         Socket next = ask("d");
--- a/router/src/test/java/stagepier/app/NoDelayTest.java
+++ b/router/src/test/java/stagepier/app/NoDelayTest.java
@@ -26,7 +26,7 @@
 import stagepier.exchange.ModuleHost;
 import stagepier.overload.LoopDelay;
 
-/** Every socket of every kind sends at once. Guards against small answers that wait for the acknowledgement of earlier ones. */
+/** All sockets set TCP_NODELAY. Without it small answers wait for the acknowledgement of earlier ones. */
 @Timeout(60)
 class NoDelayTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -40,7 +40,7 @@
         return field.get(of);
     }
 
-    /** Whether each connection that the loop looks after sends without delay. */
+    /** Returns the TCP_NODELAY option of each connection that is registered with the loop. */
     private static List<Boolean> noDelay(EventLoop loop) throws Exception {
         return loop.submit(() -> {
                     IoHandler handler = (IoHandler) field(loop, SingleThreadIoEventLoop.class, "ioHandler");
@@ -59,12 +59,12 @@
                 .get(5, TimeUnit.SECONDS);
     }
 
-    private static List<Boolean> trueTimes(int n) {
+    private static List<Boolean> copiesOfTrue(int n) {
         return java.util.Collections.nCopies(n, true);
     }
 
     @Test
-    void clientsCacheServersDiscoveryAndStaff() throws Exception {
+    void connectionsToClientsCacheServersDiscoveryAndConsole() throws Exception {
         int port = Rehearsal.freePort();
         int console = Rehearsal.freePort();
         try (StandInAgent agent = new StandInAgent();
@@ -77,10 +77,10 @@
                     StandInAgent.known(StandInAgent.entry(1, cache.port(), "up")))));
             router.start().get(20, TimeUnit.SECONDS);
             try (Socket client = new Socket(LOOPBACK, port);
-                    Socket staff = new Socket(LOOPBACK, console)) {
+                    Socket consoleClient = new Socket(LOOPBACK, console)) {
                 Rehearsal.write(client, "mg k v Oa Pc=read,t=x,d=1900\r\n");
                 assertEquals("VA 2 Oa", Rehearsal.reader(client).readLine());
-                // The last to come; accepted after the client, on the same loop.
+                // Waits for the console connection, which the same loop accepts after the client.
                 StandInAgent.await(() -> {
                     try {
                         return noDelay(router.loop()).size() >= 4;
@@ -89,8 +89,8 @@
                     }
                 });
                 List<Boolean> all = noDelay(router.loop());
-                assertEquals(trueTimes(all.size()), all);
-                assertEquals(true, staff.isConnected());
+                assertEquals(copiesOfTrue(all.size()), all);
+                assertEquals(true, consoleClient.isConnected());
             } finally {
                 router.stop().get(10, TimeUnit.SECONDS);
             }
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void clientsOfASocketThatWasPassedOn() throws Exception {
+    void clientsOfInheritedListeningSocket() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (ServerSocketChannel passed = ServerSocketChannel.open()) {
             passed.bind(new InetSocketAddress(LOOPBACK, 0));
@@ -107,14 +107,14 @@
             LoopDelay delay = new LoopDelay();
             ModuleHost host = new ModuleHost(loop, new Clock(), delay, config.settings());
             ClientListener clients =
-                    new ClientListener(loop, new Clock(), delay, 10, host, () -> "END", Drains.serving());
+                    new ClientListener(loop, new Clock(), delay, 10, host, () -> "END", DrainStates.serving());
             loop.submit(() -> clients.listen(group, passed))
                     .get(5, TimeUnit.SECONDS)
                     .sync();
             try (Socket client = new Socket(LOOPBACK, passed.socket().getLocalPort())) {
                 Rehearsal.write(client, "stats\r\n");
                 assertEquals("END", Rehearsal.reader(client).readLine());
-                assertEquals(trueTimes(1), noDelay(loop));
+                assertEquals(copiesOfTrue(1), noDelay(loop));
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/router/src/test/java/stagepier/app/OverloadTest.java
+++ b/router/src/test/java/stagepier/app/OverloadTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import stagepier.exchange.Clock;
 
-/** A router in this process whose own loop, places and links are brought into trouble on purpose. */
+/** An in-process router with a stalled event loop, too many clients or a silent server link. */
 @Timeout(60)
 class OverloadTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -37,7 +37,7 @@
     private static final String HOST = "{\"instanceId\":\"s-0000000%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"a\","
             + "\"machineType\":\"m\",\"cell\":0,\"lifecycle\":\"up\",\"weight\":1.0,\"startedAtMs\":0}";
 
-    /** A client's connection. */
+    /** A client connection. */
     private static final class Client {
         private final Socket socket;
         private final BufferedReader answers;
@@ -53,7 +53,7 @@
             Rehearsal.write(socket, text);
         }
 
-        /** Whether the next answer is a value; it is taken whole. */
+        /** Reads the next answer and returns whether it is a value. */
         boolean served() throws IOException {
             String line = answers.readLine();
             if (line == null || !line.startsWith("VA ")) {
@@ -89,7 +89,10 @@
             clients.add(new Client(port));
         }
         for (int i = 0; i < 10; i++) {
-            assertEquals(20, askedBy(clients, 1900).stream().filter(b -> b).count(), "calm before the trouble");
+            assertEquals(
+                    20,
+                    sendReads(clients, 1900).stream().filter(b -> b).count(),
+                    "not all requests served before the test");
         }
     }
 
@@ -109,43 +112,43 @@
         return "mg %016x v O%016x Pc=read,t=t,d=%d\r\n".formatted(lastId, lastId, budgetMs);
     }
 
-    /** One read on each; whether each was served. */
-    private List<Boolean> askedBy(List<Client> who, int budgetMs) throws IOException {
-        for (Client c : who) {
+    /** Sends one read on each connection and returns which ones were served. */
+    private List<Boolean> sendReads(List<Client> connections, int budgetMs) throws IOException {
+        for (Client c : connections) {
             c.write(read(budgetMs));
         }
         List<Boolean> served = new ArrayList<>();
-        for (Client c : who) {
+        for (Client c : connections) {
             served.add(c.served());
         }
         return served;
     }
 
-    /** Seconds that the slowest of a client's requests took, one after another; all must be served. */
-    private double worstOf(Client c) throws IOException {
-        double worst = 0;
+    /** Sends consecutive requests that must all be served, and returns the longest response time in seconds. */
+    private double longestResponse(Client c) throws IOException {
+        double longest = 0;
         for (int i = 0; i < 200; i++) {
             double from = new Clock().now();
             c.write(read(1900));
             assertTrue(c.served());
-            worst = Math.max(worst, new Clock().now() - from);
+            longest = Math.max(longest, new Clock().now() - from);
         }
-        return worst;
+        return longest;
     }
 
     private String counters() throws Exception {
         return router.counters().get(5, TimeUnit.SECONDS) + " ";
     }
 
-    /** Guards against a loop that stood still: what lay unread is as old as it is, and no server is to blame. */
+    /** After a stall of the loop, unread requests count from their arrival, and no server is treated as failed. */
     @Test
-    void afterAStallWhatHasNoTimeLeftIsRefusedAtOnceAndTheRestIsServed() throws Exception {
+    void afterStallExpiredRequestsAreRefusedAtOnceAndOthersServed() throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         router.loop().execute(() -> {
             stalled.countDown();
             try {
-                goOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -154,40 +157,40 @@
         for (int i = 0; i < 300; i++) {
             clients.get(i % 20).write(read(i % 20 == 0 ? 1900 : 200));
         }
-        // The stall itself: time that passes while all is written and nothing read.
+        // Lets time pass while everything is written and nothing is read.
         double from = new Clock().now();
         while (new Clock().now() - from < 0.3) {
             Thread.onSpinWait();
         }
-        goOn.countDown();
+        resume.countDown();
         double resumed = new Clock().now();
         for (int i = 0; i < 300; i++) {
             assertEquals(i % 20 == 0, clients.get(i % 20).served(), "request " + i);
         }
-        assertTrue(new Clock().now() - resumed < 1, "not at once");
+        assertTrue(new Clock().now() - resumed < 1, "answers after the stall took too long");
         String counters = counters();
         assertTrue(
                 counters.contains(" executions_timeout=0 ")
                         && counters.contains(" requests_overdue=0 ")
                         && counters.contains(" requests_unanswered=0 "),
                 counters);
-        // All that waited, and maybe some before, while the router's code was still cold.
+        // All requests of the stall, and possibly earlier ones from before the code was compiled.
         Matcher late = Pattern.compile(" requests_read_late=([0-9]+) ").matcher(counters);
         assertTrue(late.find() && Integer.parseInt(late.group(1)) >= 300, counters);
-        // No circuit has opened: all is served as before.
-        assertEquals(20, askedBy(clients, 1900).stream().filter(b -> b).count());
+        // No circuit breaker has opened: all requests are served as before.
+        assertEquals(20, sendReads(clients, 1900).stream().filter(b -> b).count());
     }
 
-    /** Guards against those who hold places without asking crowding out those who ask. */
+    /** Prevents clients that hold links without sending requests from displacing clients that send them. */
     @Test
-    void whoAsksIsServedInTimeBehindACrowdThatHoldsMorePlacesThanThereAre() throws Exception {
-        List<Socket> crowd = new ArrayList<>();
+    void requestIsServedInTimeDespiteMoreIdleClientsThanLinks() throws Exception {
+        List<Socket> idleClients = new ArrayList<>();
         try {
             for (int i = 0; i < 240; i++) {
                 Socket s = new Socket(LOOPBACK, port);
-                crowd.add(s);
-                String says = i % 3 == 0 ? "mn\r\n" : i % 3 == 1 ? "mg k1 v Oaa" : "";
-                Rehearsal.write(s, says);
+                idleClients.add(s);
+                String input = i % 3 == 0 ? "mn\r\n" : i % 3 == 1 ? "mg k1 v Oaa" : "";
+                Rehearsal.write(s, input);
             }
             Client late = new Client(port);
             clients.add(late);
@@ -196,33 +199,33 @@
             assertTrue(counters().contains(" requests_overdue=0 "));
             assertTrue(!counters().contains(" client_links_given_up_probe=0 "), counters());
         } finally {
-            for (Socket s : crowd) {
+            for (Socket s : idleClients) {
                 s.close();
             }
         }
     }
 
-    /** Guards against work that is stuck on one silent connection until its time is up. */
+    /** Prevents requests from waiting on a silent connection until their deadline. */
     @Test
-    void aSilentLinkIsGivenUpWhileItsServerAnswersElsewhere() throws Exception {
-        StandInCache busier = first.answered() > second.answered() ? first : second;
-        int links = busier.connections();
-        busier.silenceBusiest();
-        // Each client goes on when it has its answer: what is sent later passes by what is stuck.
-        List<Future<Double>> worsts = new ArrayList<>();
-        // No more than one server has tickets for: the other one has to bear all for a moment.
+    void silentLinkIsClosedWhileServerAnswersOnOthers() throws Exception {
+        StandInCache busierServer = first.answered() > second.answered() ? first : second;
+        int links = busierServer.connections();
+        busierServer.silenceBusiest();
+        // Each client continues after its answer, so that later requests overtake the ones on the silent link.
+        List<Future<Double>> results = new ArrayList<>();
+        // No more clients than one server has tickets for, because it has to take the whole load for a moment.
         List<Client> few = clients.subList(0, 10);
         ExecutorService all = Executors.newFixedThreadPool(few.size());
         for (Client c : few) {
-            worsts.add(all.submit(() -> worstOf(c)));
+            results.add(all.submit(() -> longestResponse(c)));
         }
-        double worst = 0;
-        for (Future<Double> w : worsts) {
-            worst = Math.max(worst, w.get(30, TimeUnit.SECONDS));
+        double longest = 0;
+        for (Future<Double> w : results) {
+            longest = Math.max(longest, w.get(30, TimeUnit.SECONDS));
         }
         all.shutdown();
-        assertTrue(links > 1, "one link alone tells nothing");
-        assertTrue(worst < 1.2, "waited " + worst + " s");
+        assertTrue(links > 1, "the test needs more than one link");
+        assertTrue(longest < 1.2, "longest response time " + longest + " s");
         String counters = counters();
         assertTrue(counters.contains(" executions_timeout=0 "), counters);
         assertTrue(!counters.contains(" server_links_silent=0 "), counters);
--- a/router/src/test/java/stagepier/app/Platform.java
+++ b/router/src/test/java/stagepier/app/Platform.java
@@ -15,8 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A platform that holds the clients' listening socket and starts routers which inherit it as descriptor 0. The JVM can not
- * pass a socket on, so a few lines of Perl, which every Debian has, do: they listen, fork, and tell how each process ended.
+ * A platform process that holds the clients' listening socket and starts routers that inherit it as descriptor 0. The
+ * JVM cannot pass a socket to a child process, so a short Perl script (Perl is part of every Debian) listens, forks and
+ * reports the exit status of each process.
  */
 final class Platform implements Closeable {
     private static final String PERL = """
@@ -42,11 +43,11 @@
 
     private final Process perl;
     private final CompletableFuture<Integer> port = new CompletableFuture<>();
-    private final Map<Long, CompletableFuture<Integer>> ends = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<Integer>> exitCodes = new ConcurrentHashMap<>();
     private final java.util.concurrent.BlockingQueue<Long> started = new java.util.concurrent.LinkedBlockingQueue<>();
     private final ExecutorService reader = Executors.newSingleThreadExecutor();
 
-    /** @param shared the folder that all its processes share */
+    /** @param shared folder that all its processes share */
     Platform(Path shared) throws IOException {
         Path script = Files.writeString(shared.resolve("platform.pl"), "use IO::Handle; use Errno;\n" + PERL);
         ProcessBuilder builder = new ProcessBuilder(
@@ -73,7 +74,7 @@
                 switch (words[0]) {
                     case "port" -> port.complete(Integer.parseInt(words[1]));
                     case "started" -> started.add(Long.parseLong(words[1]));
-                    default -> end(Long.parseLong(words[1])).complete(Integer.parseInt(words[2]));
+                    default -> exitCode(Long.parseLong(words[1])).complete(Integer.parseInt(words[2]));
                 }
             }
         } catch (IOException e) {
@@ -85,7 +86,7 @@
         return port.get(10, TimeUnit.SECONDS);
     }
 
-    /** Starts a router; returns its process id. */
+    /** Starts a router and returns its process id. */
     long start(Path config, int console, Path log) throws Exception {
         perl.getOutputStream()
                 .write((config + " 127.0.0.1:" + console + " " + log + "\n").getBytes(StandardCharsets.US_ASCII));
@@ -93,9 +94,9 @@
         return started.poll(10, TimeUnit.SECONDS);
     }
 
-    /** The exit code of a process that this started; below 0 the signal that ended it. */
-    CompletableFuture<Integer> end(long pid) {
-        return ends.computeIfAbsent(pid, p -> new CompletableFuture<>());
+    /** Returns the exit code of a process that this platform started; negative is the signal that ended it. */
+    CompletableFuture<Integer> exitCode(long pid) {
+        return exitCodes.computeIfAbsent(pid, p -> new CompletableFuture<>());
     }
 
     static void terminate(long pid) {
--- a/router/src/test/java/stagepier/app/RehearsalTest.java
+++ b/router/src/test/java/stagepier/app/RehearsalTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A rehearsal in which nothing is served would leave out of the archive what a router needs most. */
+/** Prevents a rehearsal whose requests fail: the class archive would lack the classes of the request path. */
 class RehearsalTest {
     @Test
-    void allThatItAsksForIsServed() throws Exception {
+    void servesAllItsRequests() throws Exception {
         assertEquals(600, Rehearsal.run());
     }
 }
--- a/router/src/test/java/stagepier/app/RestartTest.java
+++ b/router/src/test/java/stagepier/app/RestartTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A planned restart: what clients meet on connections that stay open, and on new ones, from SIGTERM to the end. */
+/** A planned restart as clients see it on open and on new connections, from SIGTERM to the exit. */
 @Timeout(60)
 class RestartTest {
     private static final String BUSY = "SERVER_ERROR busy";
-    /** From SIGTERM on all is served as before for so long. */
-    private static final long SERVES_ON_MS = 700;
+    /** Period after SIGTERM in which the router serves as before. */
+    private static final long GRACE_MS = 700;
 
     @TempDir
     private Path folder;
@@ -54,7 +54,7 @@
         router.process().destroy();
     }
 
-    /** Until that long after SIGTERM. */
+    /** Waits until the given time after SIGTERM. */
     private void awaitAfterTerm(long ms) throws InterruptedException {
         long left = ms - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - terminatedAt);
         TimeUnit.MILLISECONDS.sleep(Math.max(0, left));
@@ -68,9 +68,9 @@
         return "mg k" + id + " v O" + id + " Pc=read,t=x,d=1900\r\n";
     }
 
-    /** One request is open when the time to serve is over; more come behind it, one of them in two halves. */
+    /** One request is open at the end of the grace period; more follow behind it, one of them in two writes. */
     @Test
-    void whatComesBehindAnOpenRequestIsTurnedAwayAndTheLinkClosesAfterAllAnswers() throws Exception {
+    void requestsBehindOpenRequestAreRefusedAndLinkClosesAfterAnswers() throws Exception {
         try (Socket client = router.connect();
                 Socket half = router.connect()) {
             BufferedReader answers = Rehearsal.reader(client);
@@ -80,23 +80,23 @@
             ask(client, "open");
             cache.awaitHeld(cache);
             terminate();
-            awaitAfterTerm(SERVES_ON_MS - 200);
+            awaitAfterTerm(GRACE_MS - 200);
             Rehearsal.write(half, "mn\r\n" + read("half").substring(0, 12));
-            awaitAfterTerm(SERVES_ON_MS + 150);
+            awaitAfterTerm(GRACE_MS + 150);
             ask(client, "a");
             Rehearsal.write(client, read("b") + read("c").substring(0, 9));
             Rehearsal.write(half, read("half").substring(12));
-            BufferedReader said = Rehearsal.reader(half);
-            assertEquals("MN", said.readLine());
-            assertTrue(said.readLine().startsWith(BUSY), "at once");
-            assertNull(said.readLine(), "and closed");
+            BufferedReader halfAnswers = Rehearsal.reader(half);
+            assertEquals("MN", halfAnswers.readLine());
+            assertTrue(halfAnswers.readLine().startsWith(BUSY), "expected an immediate refusal");
+            assertNull(halfAnswers.readLine(), "link not closed");
             Rehearsal.write(client, read("c").substring(9));
             cache.hold(false);
             readServed(answers, "open");
             for (int i = 0; i < 3; i++) {
                 assertTrue(String.valueOf(answers.readLine()).startsWith(BUSY));
             }
-            assertNull(answers.readLine(), "closed");
+            assertNull(answers.readLine(), "link not closed");
         }
         assertEquals(0, router.exitCode());
     }
@@ -106,9 +106,9 @@
         assertEquals("hi", answers.readLine());
     }
 
-    /** More clients than there are places: those that wait to be accepted are answered, too, and not reset. */
+    /** With more clients than links, the clients that wait to be accepted are answered as well and not reset. */
     @Test
-    void whoWaitsToBeAcceptedWhenTheTimeIsUpGetsAnAnswer() throws Exception {
+    void clientsWaitingForAcceptAtEndOfGracePeriodAreAnswered() throws Exception {
         cache.hold(true);
         List<Socket> clients = new ArrayList<>();
         try {
@@ -121,7 +121,7 @@
             }
             cache.awaitHeld(cache);
             terminate();
-            awaitAfterTerm(SERVES_ON_MS + 100);
+            awaitAfterTerm(GRACE_MS + 100);
             cache.hold(false);
             for (Socket client : clients) {
                 String line = Rehearsal.reader(client).readLine();
@@ -136,22 +136,23 @@
     }
 
     /**
-     * Clients ask steadily, each on its connection as long as that stays open, one at a time or three, and SIGKILL comes 2 s
-     * after SIGTERM. A request that meets a close between requests goes once more to whoever comes next, as the protocol
-     * says; nothing else may stay without an answer, such as what came while an earlier one was open.
+     * Clients send constant load, one or three requests at a time on a connection each, and SIGKILL follows 2 s after
+     * SIGTERM. By the protocol, a client sends a request that crosses the close of an idle link again to another
+     * router. Every other request must be answered, including those that arrive while an earlier one is open.
      */
     @Test
-    void underSteadyRequestsEachGetsItsAnswerUpToTheKill() throws Exception {
+    void requestsUnderConstantLoadAreAnsweredUntilKill() throws Exception {
         router.connect().close();
-        cache.slow(12);
+        cache.delayAnswers(12);
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger answered = new AtomicInteger();
-        AtomicInteger closedUpon = new AtomicInteger();
+        AtomicInteger closedConnections = new AtomicInteger();
         List<String> lost = new CopyOnWriteArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (int c = 0; c < 12; c++) {
             int number = c;
-            threads.add(new Thread(() -> steadily(number, 1 + 2 * (number % 2), over, answered, closedUpon, lost)));
+            threads.add(new Thread(
+                    () -> sendConstantLoad(number, 1 + 2 * (number % 2), over, answered, closedConnections, lost)));
         }
         threads.forEach(Thread::start);
         StandInAgent.await(() -> answered.get() > 500);
@@ -163,33 +164,33 @@
             thread.join();
         }
         assertEquals(List.of(), lost);
-        assertTrue(closedUpon.get() <= threads.size(), closedUpon + " met a close");
-        assertEquals(0, router.exitCode(), "over before the kill");
+        assertTrue(closedConnections.get() <= threads.size(), closedConnections + " requests met a closed connection");
+        assertEquals(0, router.exitCode(), "exit status before the kill");
     }
 
-    private void steadily(
+    private void sendConstantLoad(
             int number,
-            int atOnce,
+            int batchSize,
             AtomicBoolean over,
             AtomicInteger answered,
-            AtomicInteger closedUpon,
+            AtomicInteger closedConnections,
             List<String> lost) {
-        int got = 0;
-        boolean owed = false;
+        int received = 0;
+        boolean answersExpected = false;
         try (Socket client = router.connect()) {
             BufferedReader in = Rehearsal.reader(client);
-            for (int n = 0; !over.get(); n += atOnce) {
-                got = 0;
-                for (int i = 0; i < atOnce; i++) {
+            for (int n = 0; !over.get(); n += batchSize) {
+                received = 0;
+                for (int i = 0; i < batchSize; i++) {
                     ask(client, number + "x" + (n + i));
                     TimeUnit.MILLISECONDS.sleep(2);
                 }
-                // The link can not have been closed before all were written if nothing has been answered by now.
-                owed = client.getInputStream().available() == 0;
-                for (; got < atOnce; got++) {
+                // If no answer has arrived yet, the link was not closed before all requests were written.
+                answersExpected = client.getInputStream().available() == 0;
+                for (; received < batchSize; received++) {
                     String line = in.readLine();
                     if (line == null) {
-                        throw new IOException("closed");
+                        throw new IOException("connection closed");
                     }
                     if (!line.startsWith(BUSY) && !(line.startsWith("VA 2 ") && "hi".equals(in.readLine()))) {
                         lost.add(line);
@@ -199,10 +200,10 @@
                 TimeUnit.MILLISECONDS.sleep(number % 5);
             }
         } catch (IOException e) {
-            // Closed between requests: what came at the same time and was not read goes on to another router.
-            closedUpon.incrementAndGet();
-            if (owed && got > 0 && got < atOnce) {
-                lost.add("client " + number + " had " + got + " of " + atOnce + " answers");
+            // Closed between requests: a request that crossed the close is sent again to another router.
+            closedConnections.incrementAndGet();
+            if (answersExpected && received > 0 && received < batchSize) {
+                lost.add("client " + number + " had " + received + " of " + batchSize + " answers");
             }
         } catch (Exception e) {
             lost.add(e.toString());
--- a/router/src/test/java/stagepier/app/CrossingFixture.java
+++ b/router/src/test/java/stagepier/app/RouterFixture.java
@@ -24,10 +24,10 @@
 import stagepier.settings.SettingsParser;
 
 /**
- * The real parts of a router on the real sockets of one event loop, with a module that sends where a test says and links that come up
- * when a test says. So events can be brought into one order on purpose.
+ * The components of a router on sockets of one event loop, with a routing module and server links that a test controls,
+ * so that the test can enforce an order of events.
  */
-final class CrossingFixture implements Closeable {
+final class RouterFixture implements Closeable {
     static final long SERVER = 1;
     private static final String SETTINGS = """
             {"Classes":[{"Name":"read","Deadline":4,"GoalTime":2,"Repeat":"idempotent","Worth":1},
@@ -42,24 +42,24 @@
     final ServerSocket cache;
     final ModuleHost host;
     final ServerPools servers;
-    /** Requests of which the module was told, in order. */
+    /** Requests that the module received, in order. */
     final List<Long> asked = new ArrayList<>();
-    /** What the module does when it is told of a list. */
+    /** Action of the module when it receives a list of servers. */
     Runnable onList = () -> {};
 
     private final HoldableConnector connector;
     private final int port;
 
     /**
-     * @param held        links come up when a test says
-     * @param bufferBytes bytes that the sockets to the cache server hold; 0 for the usual
+     * @param held        whether server links are established only when a test allows it
+     * @param bufferBytes buffer size of the sockets to the cache server; 0 for the default
      */
-    CrossingFixture(boolean held, int bufferBytes) throws Exception {
+    RouterFixture(boolean held, int bufferBytes) throws Exception {
         this(held, bufferBytes, 100);
     }
 
-    /** @param streams requests that the cache server has in work at a time for one connection */
-    CrossingFixture(boolean held, int bufferBytes, int streams) throws Exception {
+    /** @param streams concurrent requests of one connection that the cache server accepts */
+    RouterFixture(boolean held, int bufferBytes, int streams) throws Exception {
         cache = new ServerSocket();
         if (bufferBytes > 0) {
             cache.setReceiveBufferSize(bufferBytes);
@@ -84,7 +84,7 @@
                 parsed.idleClose(),
                 parsed.streams());
         host.connect(new Module(), servers);
-        ClientListener clients = new ClientListener(loop, clock, delay, 300, host, () -> "END", Drains.serving());
+        ClientListener clients = new ClientListener(loop, clock, delay, 300, host, () -> "END", DrainStates.serving());
         onLoop(() -> {
             servers.ready(SERVER, new InetSocketAddress(InetAddress.getLoopbackAddress(), cache.getLocalPort()), 0);
             return null;
@@ -96,7 +96,7 @@
                 .getPort();
     }
 
-    /** Sends each request once to the one server, and gives up what has failed. */
+    /** Sends each request once to the only server and fails it if the execution fails. */
     private final class Module extends NoOpEvents {
         @Override
         public void onRequest(double now, Api.Request r) {
@@ -130,7 +130,7 @@
         return loop.submit(work).get(RouterProcess.WAIT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** A counter of the host. */
+    /** Returns a counter of the host. */
     long count(String name) throws Exception {
         long[] found = {-1};
         onLoop(() -> {
@@ -178,7 +178,7 @@
         Rehearsal.write(client, "mg k" + id + " v O" + id + " Pc=read,d=3500\r\n");
     }
 
-    /** The next link that is to come up. */
+    /** Waits for the next held connection attempt and returns the action that completes it. */
     Runnable nextConnect() throws InterruptedException {
         return connector.awaitHeld(RouterProcess.WAIT_MS);
     }
--- a/router/src/test/java/stagepier/app/RouterProcess.java
+++ b/router/src/test/java/stagepier/app/RouterProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The program as it is started, on a port of its own, with its log and configuration in a folder. */
+/** A router process on a port of its own, with its log and configuration in a folder. */
 final class RouterProcess implements Closeable {
     static final int WAIT_MS = 5000;
     /** Name of the configuration file. */
@@ -25,33 +25,33 @@
             "Areas":["a"],"Flavors":["m"],"Limits":{"MaxAttempts":3,"MaxRetryAfter":1.2,"DialTimeout":0.25,
             "IdleClose":60},"Obligations":{"DrainGrace":1}}""";
 
-    private static final String CONSOLE = "GW_CONSOLE";
+    private static final String CONSOLE_VARIABLE = "GW_CONSOLE";
 
     private final Path folder;
     private final int port;
-    /** 0 where it has none. */
+    /** Port of the console, or 0 if there is none. */
     private final int console;
 
     private final String known;
     private final Process process;
 
-    /** One that knows these cache servers. */
+    /** Starts a router that knows the given cache servers. */
     RouterProcess(Path folder, StandInAgent agent, String... entries) throws IOException {
         this(folder, agent, Map.of(), entries);
     }
 
-    /** @param environment variables of the process beside those of this one */
+    /** @param environment variables of the process in addition to those of this process */
     RouterProcess(Path folder, StandInAgent agent, Map<String, String> environment, String... entries)
             throws IOException {
         this(folder, agent, environment, 0, entries);
     }
 
-    /** One with a console. */
+    /** Starts a router with a console. */
     static RouterProcess withConsole(
             Path folder, StandInAgent agent, Map<String, String> environment, String... entries) throws IOException {
         int console = TestPorts.next();
         Map<String, String> all = new HashMap<>(environment);
-        all.put(CONSOLE, "127.0.0.1:" + console);
+        all.put(CONSOLE_VARIABLE, "127.0.0.1:" + console);
         return new RouterProcess(folder, agent, all, console, entries);
     }
 
@@ -71,7 +71,7 @@
                 "limits":{"sockets":128},"known":%s}""".formatted(port, agent.port(), SETTINGS, known);
     }
 
-    /** Writes a configuration with another discovery; read on SIGHUP. */
+    /** Writes a configuration with another discovery address, which the router reads on SIGHUP. */
     void configure(StandInAgent agent) throws IOException {
         Files.writeString(folder.resolve(CONFIG), config(agent));
     }
@@ -96,10 +96,10 @@
         return builder.start();
     }
 
-    /** What its console answers, or nothing while nobody is there. */
-    String says(String line) {
+    /** Returns the answer of the console, or an empty string if it does not answer. */
+    String callConsole(String line) {
         try {
-            return ConsoleCaller.call(console, line);
+            return ConsoleClient.call(console, line);
         } catch (IOException e) {
             return "";
         }
@@ -113,7 +113,7 @@
         return console;
     }
 
-    /** A connection, as soon as there can be one. */
+    /** Connects as soon as the router listens. */
     Socket connect() throws Exception {
         while (true) {
             try {
@@ -123,14 +123,14 @@
                 return socket;
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new AssertionError("ended: " + log());
+                    throw new AssertionError("router process ended: " + log());
                 }
                 Thread.sleep(5);
             }
         }
     }
 
-    /** The first line of the answer on a connection of its own. */
+    /** Sends a line on a new connection and returns the first line of the answer. */
     String ask(String line) throws Exception {
         try (Socket client = connect()) {
             Rehearsal.write(client, line + "\r\n");
@@ -162,13 +162,13 @@
                         .start()
                         .waitFor()
                 != 0) {
-            throw new AssertionError("no such process");
+            throw new AssertionError("cannot send SIG" + name + " to process " + process.pid());
         }
     }
 
     int exitCode() throws InterruptedException {
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new AssertionError("still there");
+            throw new AssertionError("router process did not exit within 10 s");
         }
         return process.exitValue();
     }
--- a/router/src/test/java/stagepier/app/OwnSettingsTest.java
+++ b/router/src/test/java/stagepier/app/RouterSettingsTest.java
@@ -24,10 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A router serves the settings that it is given and no others, whatever those were with which its classes were recorded. */
+/** A router applies its own settings only, independent of the settings with which its class archive was recorded. */
 @Timeout(90)
-class OwnSettingsTest {
-    /** No name of the rehearsal's, nor its effects: nothing here may simply be repeated. */
+class RouterSettingsTest {
+    /** Shares no name with the settings of the rehearsal, and has other effects. */
     private static final String SETTINGS = """
             {"Classes":[{"Name":"article","Deadline":0.5,"GoalTime":0.3,"Repeat":"at_most_once"},
             {"Name":"article-list","Deadline":3,"GoalTime":2,"Repeat":"deduplicated","Group":"zone","DedupWindow":0.7}],
@@ -73,7 +73,7 @@
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    /** The program's class path with its own classes in a jar: the JVM records none from a folder. */
+    /** Returns the class path with the router's classes in a jar: the JVM archives no classes from a folder. */
     private String classPath() throws IOException {
         Path jar = folder.resolve("own.jar");
         Path classes = Path.of("target/classes");
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aRouterFromTheRecordedClassesServesItsOwnSettingsOnly() throws Exception {
+    void routerStartedFromArchiveAppliesOnlyItsOwnSettings() throws Exception {
         String classPath = classPath();
         Path archive = folder.resolve("recorded.jsa");
         Process rehearsal = launch(
@@ -140,7 +140,7 @@
         assertTrue(rehearsal.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, rehearsal.exitValue(), log());
         int port = Rehearsal.freePort();
-        // Not 'auto': a router that could not use the archive would show nothing.
+        // Not 'auto': with it a router that cannot use the archive would start without it.
         router = launch(
                 config(port, SETTINGS),
                 java(),
@@ -182,7 +182,7 @@
                 "{\"Classes\":[{\"Name\":\"a\",\"Deadline\":\"5\\n s\",\"Repeat\":\"idempotent\"}]}",
                 "{\"Classes\":[{\"Name\":[],\"Deadline\":1,\"Repeat\":\"idempotent\"}]}"
             })
-    void settingsThatMakeNoSenseEndTheStartInOneLine(String settings) throws Exception {
+    void invalidSettingsAbortStartWithOneLine(String settings) throws Exception {
         router = launch(
                 config(Rehearsal.freePort(), settings),
                 java(),
@@ -197,9 +197,9 @@
         assertTrue(log().startsWith("stagepier: configuration: settings: "), log());
     }
 
-    /** One plain refusal for what the settings don't name, and the link goes on; a tenant unknown here has no share. */
+    /** Unknown names are refused in one line and the link stays open; an unknown tenant is served without a share. */
     @Test
-    void aRequestWithUnknownNamesOrUnitsIsRefusedInOneLine() throws Exception {
+    void requestWithUnknownNamesOrUnitsIsRefusedInOneLine() throws Exception {
         int port = Rehearsal.freePort();
         router = launch(
                 config(port, SETTINGS),
--- a/router/src/test/java/stagepier/app/RouterTest.java
+++ b/router/src/test/java/stagepier/app/RouterTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts the program and speaks to it over sockets, in the places of clients, a cache server and discovery. */
+/** Starts a router process and acts as its clients, cache server and discovery over sockets. */
 @Timeout(60)
 class RouterTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A router that knows one cache server, at that port. */
+    /** Starts a router that knows one cache server at the given port. */
     private void start(int cachePort) throws Exception {
         started = new RouterProcess(folder, discovery, StandInAgent.entry(1, cachePort, "up"));
         router = started.process();
@@ -72,7 +72,7 @@
     }
 
     private static BufferedReader reader(Socket socket) throws IOException {
-        // A test that waits in vain fails; it does not hang.
+        // With a time-out a missing answer fails the test instead of blocking it.
         socket.setSoTimeout(WAIT_MS);
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
@@ -96,12 +96,12 @@
     }
 
     @Test
-    void servesReadsAndWritesInTheOrderOfTheCommands() throws Exception {
+    void answersReadsAndWritesInCommandOrder() throws Exception {
         start(cache.getLocalPort());
         write(client, "mg k1 v Oa Pc=read,t=x,d=1900\r\nms k2 5 Ob Pc=put,d=1900,k=77\r\nhello\r\nmn\r\n");
         Socket link = cache.accept();
         assertTrue(reader(link).readLine().matches("mg k1 v Oa Pc=read,t=x,d=1[89][0-9][0-9]"));
-        // Not behind the read: a quick answer would have to wait for a slow one.
+        // Sent on a second link, so that a fast answer does not wait behind a slow one.
         Socket second = cache.accept();
         BufferedReader asked = reader(second);
         assertTrue(asked.readLine().matches("ms k2 5 Ob Pc=put,d=1[89][0-9][0-9],k=77"));
@@ -121,7 +121,7 @@
     private long counter(String name) throws IOException {
         write(client, "stats\r\n");
         String line = "STAT " + name + " ";
-        // The whole answer is read, whatever the place of the counter in it.
+        // Reads the complete answer, wherever the counter occurs in it.
         List<String> stats = answers.lines().takeWhile(l -> !l.equals("END")).toList();
         return stats.stream()
                 .filter(l -> l.startsWith(line))
@@ -131,11 +131,11 @@
     }
 
     /**
-     * Guards against an event loop that polls for input in the last half millisecond before each timer: it takes processor time
-     * that is needed elsewhere. Waits are whole milliseconds, so that there are few turns in each.
+     * Prevents the event loop from polling for input in the last half millisecond before each timer, which wastes
+     * processor time. Waits are whole milliseconds, so there are few turns per millisecond.
      */
     @Test
-    void anIdleRouterDoesNotPoll() throws Exception {
+    void idleRouterDoesNotPoll() throws Exception {
         start(cache.getLocalPort());
         int asked = 40;
         long turns = counter("loop_turns");
@@ -150,20 +150,21 @@
     }
 
     @Test
-    void aThrottleComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void throttleIsAnsweredAtOnceWithRetryDelay() throws Exception {
         start(freePort());
         long from = System.nanoTime();
         assertTrue(ask("mg k1 v Oa Pc=read,d=1900").matches("SERVER_ERROR busy [1-9][0-9]*"));
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), "held back");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), "throttle answer delayed");
     }
 
-    /** Guards against a late answer that is taken for the next one on its link. */
+    /** Prevents a late answer from being taken for the next answer on its link. */
     @Test
-    void aSilentServerCostsNoAnswerAndItsLateAnswerIsDiscarded() throws Exception {
+    void requestToSilentServerIsAnsweredAndLateAnswerIsDiscarded() throws Exception {
         start(cache.getLocalPort());
         long from = System.nanoTime();
         assertTrue(ask("mg k1 v Oa Pc=read,d=300").startsWith("SERVER_ERROR"));
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(370), "later than the client waits");
+        assertTrue(
+                System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(370), "answered after the client's time-out");
         Socket link = cache.accept();
         write(link, "VA 4 Oa h1\r\nlate\r\n");
         Thread.sleep(200);
@@ -171,14 +172,14 @@
         write(client, "mg k2 v Ob Pc=read,d=1900\r\n");
         BufferedReader asked = reader(link);
         assertTrue(asked.readLine().startsWith("mg k1 "));
-        assertTrue(asked.readLine().startsWith("mg k2 v Ob "), "the late answer has freed the link");
+        assertTrue(asked.readLine().startsWith("mg k2 v Ob "), "the late answer did not free the link");
         write(link, "VA 3 Ob h1\r\nnew\r\n");
         assertEquals("VA 3 Ob", answers.readLine());
         assertEquals("new", answers.readLine());
     }
 
     @Test
-    void brokenInputOnEitherSideEndsOnlyItsConnection() throws Exception {
+    void malformedInputClosesOnlyItsConnection() throws Exception {
         start(cache.getLocalPort());
         assertEquals("CLIENT_ERROR unknown class", ask("mg k1 v Oa Pc=nosuch,d=100"));
         assertEquals("ERROR", ask("version"));
@@ -188,13 +189,13 @@
         write(link, "VA nonsense\r\n");
         assertTrue(answers.readLine().startsWith("SERVER_ERROR"));
         assertEquals("CLIENT_ERROR bad data length", ask("ms k1 x Oa"));
-        assertEquals(null, answers.readLine(), "closed: nothing tells where the next command begins");
+        assertEquals(null, answers.readLine(), "link must close, as the start of the next command is unknown");
         assertTrue(router.isAlive());
     }
 
-    /** Guards against taking for spoilt, and asking for again, what is only larger than a ring. */
+    /** Prevents a value that exceeds the ring buffer from being treated as corrupt and requested again. */
     @Test
-    void aValueLargerThanARingIsPassedOnWholeToASlowReader() throws Exception {
+    void valueLargerThanRingBufferReachesSlowReader() throws Exception {
         start(cache.getLocalPort());
         write(client, "mg k1 v Oa Pc=read,d=1900\r\n");
         Socket link = cache.accept();
@@ -207,9 +208,9 @@
         assertEquals("MN", ask("mn"));
     }
 
-    /** Guards against bytes behind a good answer that are taken for the next one's. */
+    /** Prevents bytes behind a valid answer from being taken for part of the next one. */
     @Test
-    void whatComesBehindAnAnswerEndsTheLinkAndCostsNobodyAnAnswer() throws Exception {
+    void bytesBehindAnswerCloseLinkWithoutLosingAnswers() throws Exception {
         start(cache.getLocalPort());
         for (String behind : List.of("VA 1 Oa h1\r\n1\r\n", "\u0001 noise", "SERVER_ERROR busy\r\n")) {
             String id = "a" + behind.length();
@@ -220,19 +221,19 @@
             write(link, "VA 1 O" + id + " h1\r\n1\r\n" + behind);
             assertEquals("VA 1 O" + id, answers.readLine());
             assertEquals("1", answers.readLine());
-            assertEquals(null, asked.readLine(), "of no further use");
+            assertEquals(null, asked.readLine(), "link not closed");
         }
     }
 
-    /** Guards against a wait until the time is up for an answer that will never be whole, and for all behind it. */
+    /** Prevents a stalled partial answer, and the requests behind it, from waiting until the deadline. */
     @Test
-    void anAnswerThatStopsInTheMiddleFailsSoonWithAllBehindIt() throws Exception {
+    void stalledPartialAnswersFailBeforeDeadline() throws Exception {
         start(cache.getLocalPort());
         long from = System.nanoTime();
         for (int i = 0; i < 8; i++) {
             write(client, "mg k" + i + " v Oa" + i + " Pc=read,d=1900\r\n");
         }
-        // 128 descriptors for one server: a link a request, for none of them waits behind another's answer.
+        // With 128 descriptors and one server each request gets a link of its own, so none waits behind another answer.
         for (int i = 0; i < 8; i++) {
             Socket link = cache.accept();
             String first = reader(link).readLine();
@@ -241,22 +242,22 @@
         for (int i = 0; i < 8; i++) {
             assertTrue(answers.readLine().startsWith("SERVER_ERROR"));
         }
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1200), "waited for the rest");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(1200), "waited for the rest of the answer");
         cache.setSoTimeout(300);
         assertThrows(java.net.SocketTimeoutException.class, cache::accept, "more links than requests");
     }
 
-    /** Guards against a link to the process that was there before, which takes new work. */
+    /** Prevents new requests on a link to the previous process of a server. */
     @Test
-    void aServerThatMovedIsAskedAtItsNewAddressWhileItsOldLinkStillHasAnAnswerToGive() throws Exception {
+    void movedServerGetsRequestsAtNewAddressWhileOldLinkFinishes() throws Exception {
         start(cache.getLocalPort());
         write(client, "mg k1 v Oa Pc=read,d=1900\r\n");
         Socket old = cache.accept();
         assertTrue(reader(old).readLine().startsWith("mg k1 "));
         try (ServerSocket moved = listen();
                 Socket other = new Socket(LOOPBACK, client.getPort())) {
-            discovery.tell(StandInAgent.entry(1, moved.getLocalPort(), "up"));
-            discovery.awaitHeard();
+            discovery.publish(StandInAgent.entry(1, moved.getLocalPort(), "up"));
+            discovery.awaitReceived();
             write(other, "mg k2 v Ob Pc=read,d=1900\r\n");
             Socket fresh = moved.accept();
             assertTrue(reader(fresh).readLine().startsWith("mg k2 "));
@@ -264,25 +265,27 @@
             assertEquals("VA 1 Oa", answers.readLine());
             write(fresh, "VA 1 Ob h1\r\n2\r\n");
             assertEquals("VA 1 Ob", reader(other).readLine());
-            assertEquals(-1, old.getInputStream().read(), "ends once nobody waits on it");
+            assertEquals(-1, old.getInputStream().read(), "old link not closed after its last answer");
         }
     }
 
-    /** Guards against new work for a server that drains, and against a watch that starts from another list than known. */
+    /**
+     * Prevents new requests to a draining server, and a watch that starts from another generation than the known list.
+     */
     @Test
-    void aServerThatDrainsGetsNothingNewAndTheWatchIsRenewed() throws Exception {
+    void drainingServerGetsNoRequestsAndWatchIsRenewed() throws Exception {
         start(cache.getLocalPort());
         discovery.awaitCalls(1);
         assertTrue(discovery.calls().get(0).startsWith("GET /discovery/hosts?from=1&hold_ms="));
-        discovery.tell(StandInAgent.entry(1, cache.getLocalPort(), "draining"));
-        discovery.awaitHeard();
+        discovery.publish(StandInAgent.entry(1, cache.getLocalPort(), "draining"));
+        discovery.awaitReceived();
         assertTrue(ask("mg k1 v Oa Pc=read,d=1900").startsWith("SERVER_ERROR busy"));
         cache.setSoTimeout(300);
         assertThrows(java.net.SocketTimeoutException.class, cache::accept);
     }
 
     @Test
-    void onSigtermItFinishesWhatItTookAndEndsWithZero() throws Exception {
+    void sigtermFinishesAcceptedRequestsAndExitsWithZero() throws Exception {
         start(cache.getLocalPort());
         write(client, "mg k1 v Oa Pc=read,d=1900\r\n");
         Socket link = cache.accept();
@@ -295,7 +298,7 @@
         assertTrue(reader(second).readLine().startsWith("mg k2 "));
         try (Socket late = new Socket(LOOPBACK, client.getPort())) {
             write(late, "mn\r\n");
-            assertEquals("MN", reader(late).readLine(), "still serving");
+            assertEquals("MN", reader(late).readLine(), "not serving after SIGTERM");
             Thread.sleep(900);
             write(second, "VA 1 Ob h1\r\n2\r\n");
             write(link, "VA 1 Oa h1\r\n1\r\n");
@@ -307,9 +310,9 @@
         assertTrue(Files.readString(folder.resolve("log")).contains("answers_served=2"));
     }
 
-    /** Guards against clients that hold descriptors by hundreds and say nothing, so that others find no place. */
+    /** Prevents hundreds of silent clients from holding descriptors that other clients need. */
     @Test
-    void silentClientsMakeWayAndAreClosedWithinThreeSeconds() throws Exception {
+    void silentClientsAreClosedWithinThreeSeconds() throws Exception {
         start(cache.getLocalPort());
         List<Socket> silent = new ArrayList<>();
         long from = System.nanoTime();
@@ -324,28 +327,28 @@
             assertEquals("MN", reader(late).readLine());
         }
         write(link, "VA 1 Oa h1\r\n1\r\n");
-        assertEquals("VA 1 Oa", answers.readLine(), "a link with an open request stays");
+        assertEquals("VA 1 Oa", answers.readLine(), "link with an open request closed");
         assertEquals("1", answers.readLine());
         for (Socket s : silent) {
             assertEquals(null, reader(s).readLine());
             s.close();
         }
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(3000), "held too long");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(3000), "not closed in time");
         assertEquals("MN", ask("mn"));
     }
 
     @Test
-    void aHalfSentCommandIsRefusedWithinThreeSeconds() throws Exception {
+    void partialCommandIsRefusedWithinThreeSeconds() throws Exception {
         start(cache.getLocalPort());
         long from = System.nanoTime();
         assertEquals("CLIENT_ERROR command not finished in time", ask("ms k1 50 Oa Pc=put,d=900\r\nhalf"));
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(3000), "held too long");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(3000), "not closed in time");
         assertEquals(null, answers.readLine());
     }
 
-    /** Guards against taking for a bad client one that sends its command in pieces. */
+    /** Prevents a client that sends a command in pieces from being disconnected as faulty. */
     @Test
-    void aCommandThatTakesTwoSecondsIsServed() throws Exception {
+    void commandSentOverTwoSecondsIsServed() throws Exception {
         start(cache.getLocalPort());
         for (String piece : List.of("mg k", "1 v ", "Oa P", "c=re", "ad,d")) {
             write(client, piece);
@@ -358,58 +361,58 @@
         assertEquals("VA 1 Oa", answers.readLine());
     }
 
-    /** Guards against serving one client with what was made for another that sent the same id. */
+    /** Prevents one client from receiving the answer for another client that used the same id. */
     @Test
-    void theIdOfAnotherRequestIsRefusedWhileThatIsOpenAndJustAfter() throws Exception {
+    void duplicateRequestIdIsRefusedWhileInUseAndShortlyAfter() throws Exception {
         start(cache.getLocalPort());
         write(client, "mg k1 v Oa Pc=read,d=1900\r\n");
         Socket link = cache.accept();
         assertTrue(reader(link).readLine().startsWith("mg k1 "));
         try (Socket other = new Socket(LOOPBACK, client.getPort())) {
-            BufferedReader said = reader(other);
+            BufferedReader otherAnswers = reader(other);
             write(other, "mg k1 v Oa Pc=read,d=1900\r\n");
-            assertEquals("CLIENT_ERROR request id in use", said.readLine());
+            assertEquals("CLIENT_ERROR request id in use", otherAnswers.readLine());
             write(link, "VA 1 Oa h1\r\n1\r\n");
             assertEquals("VA 1 Oa", answers.readLine());
             write(other, "mg k1 v Oa Pc=read,d=1900\r\n");
-            assertEquals("CLIENT_ERROR request id in use", said.readLine());
+            assertEquals("CLIENT_ERROR request id in use", otherAnswers.readLine());
         }
     }
 
-    private void hangUpUntilLogged(String text) throws Exception {
+    private void sendHangupAndAwaitLog(String text) throws Exception {
         started.signal("HUP");
         for (int i = 0; !Files.readString(folder.resolve("log")).contains(text); i++) {
-            assertTrue(i < WAIT_MS / 20, "never logged: " + text);
+            assertTrue(i < WAIT_MS / 20, "not logged in time: " + text);
             Thread.sleep(20);
         }
     }
 
-    /** Guards against a signal that ends the JVM, and against a watch that stays where nobody will answer. */
+    /** SIGHUP must not end the JVM, and the watch must not stay at an address that no longer answers. */
     @Test
-    void onSighupTheWatchMovesToTheNewDiscoveryAndABadFileChangesNothing() throws Exception {
+    void sighupMovesWatchToNewDiscoveryAndIgnoresInvalidFile() throws Exception {
         start(cache.getLocalPort());
         discovery.awaitCalls(2);
         Path file = folder.resolve("config.json");
         String config = Files.readString(file);
         Files.writeString(file, "{\"listen\":");
-        hangUpUntilLogged("the configuration in force stays");
-        // Nobody answers there: the old watch must not end before the new one is up.
+        sendHangupAndAwaitLog("reload failed, keeping the current configuration");
+        // Connections are refused there: the old watch must stay until a new one is established.
         int refused = freePort();
         Files.writeString(file, config.replace(":" + discovery.port(), ":" + refused));
-        hangUpUntilLogged("discovery at /127.0.0.1:" + refused);
-        assertEquals(1, discovery.open());
+        sendHangupAndAwaitLog("discovery at /127.0.0.1:" + refused);
+        assertEquals(1, discovery.openConnections());
         try (StandInAgent moved = new StandInAgent()) {
             Files.writeString(file, config.replace(":" + discovery.port(), ":" + moved.port()));
-            hangUpUntilLogged("discovery at /127.0.0.1:" + moved.port());
+            sendHangupAndAwaitLog("discovery at /127.0.0.1:" + moved.port());
             moved.awaitCalls(1);
             assertTrue(moved.calls().get(0).startsWith("GET /discovery/hosts?from=1&"));
-            StandInAgent.await(() -> discovery.open() == 0);
+            StandInAgent.await(() -> discovery.openConnections() == 0);
         }
         assertEquals("MN", ask("mn"));
     }
 
     @Test
-    void aBadConfigurationEndsInOneLine() throws Exception {
+    void invalidConfigurationIsReportedInOneLine() throws Exception {
         router = RouterProcess.launch(folder, "{\"listen\":\"nowhere\"}");
         assertTrue(router.waitFor(20, TimeUnit.SECONDS));
         assertFalse(router.exitValue() == 0);
--- a/router/src/test/java/stagepier/app/ShadowCoordinatorTest.java
+++ b/router/src/test/java/stagepier/app/ShadowCoordinatorTest.java
@@ -44,7 +44,7 @@
 import stagepier.settings.SettingsParser;
 import stagepier.tasks.LiveTasks;
 
-/** The shadow over sockets and threads, at one router with two cache servers. */
+/** Runs the shadow map over sockets and threads, with one router and two cache servers. */
 @Timeout(60)
 class ShadowCoordinatorTest {
     private static final String SETTINGS = """
@@ -65,10 +65,10 @@
     private Path folder;
 
     private final Set<String> served = ConcurrentHashMap.newKeySet();
-    /** Answers that hold no value, by their kind. */
+    /** Number of answers without a value, by kind. */
     private final Map<Reply.Kind, Integer> unserved = new ConcurrentHashMap<>();
 
-    private static final FleetRpc NOBODY = new FleetRpc() {
+    private static final FleetRpc UNREACHABLE = new FleetRpc() {
         @Override
         public void answer(String part, Handler answerer) {}
 
@@ -77,12 +77,12 @@
 
         @Override
         public Message call(String member, Message message, Duration most) throws NoReplyException {
-            throw new NoReplyException("nobody is there");
+            throw new NoReplyException("no other member");
         }
     };
 
     @Test
-    void copiesGoToTheCandidatesOwnerAndGiveWayToADrain() throws Exception {
+    void copiesGoToCandidateOwnerAndStopDuringDrain() throws Exception {
         Path file = Files.writeString(folder.resolve("candidate.toml"), CANDIDATE);
         InetSocketAddress self = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
         FleetConfig config = new FleetConfig(
@@ -118,47 +118,52 @@
                     0,
                     settings.streams());
             host.connect(new RoutingPolicy(settings.settings(), 1, host), pools);
-            ShadowCoordinator work = on(
+            ShadowCoordinator shadow = runOnLoop(
                     loop,
                     () -> new ShadowCoordinator(
-                            new ShadowCoordinator.Fleet(
+                            new ShadowCoordinator.FleetContext(
                                     tasks,
-                                    NOBODY,
+                                    UNREACHABLE,
                                     config,
                                     1,
                                     () -> view,
                                     () -> Calendar.NONE,
                                     null,
                                     (event, values) -> {}),
-                            new ShadowCoordinator.Own(loop, clock, settings, 400, host, new Pressure(), drain)));
-            on(loop, () -> {
+                            new ShadowCoordinator.RouterContext(
+                                    loop, clock, settings, 400, host, new Pressure(), drain)));
+            runOnLoop(loop, () -> {
                 List<HostGroup.Host> hosts = List.of(host("s-00000001", 1, one), host("s-00000002", 2, two));
                 hosts.forEach(h -> pools.ready(h.member().id(), h.address(), 0));
                 host.members(true, hosts.stream().map(HostGroup.Host::member).toList());
-                work.changed(new HostGroup.Change(true, hosts, List.of()));
-                work.start();
+                shadow.changed(new HostGroup.Change(true, hosts, List.of()));
+                shadow.start();
                 return null;
             });
-            work.part().start();
-            await(() -> work.version() == 1);
-            int asked = 0;
-            for (long till = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); count(work, "same") < 20; asked++) {
-                assertTrue(System.nanoTime() < till, () -> work.part().status().toString());
-                ask(loop, host, asked);
+            shadow.service().start();
+            await(() -> shadow.version() == 1);
+            int requests = 0;
+            for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+                    count(shadow, "same") < 20;
+                    requests++) {
+                assertTrue(
+                        System.nanoTime() < deadline,
+                        () -> shadow.service().status().toString());
+                ask(loop, host, requests);
             }
             assertTrue(
-                    work.part().status().stream()
+                    shadow.service().status().stream()
                             .anyMatch(l -> l.startsWith("shadow: candidate 1-") && l.contains(" on, ")),
-                    () -> work.part().status().toString());
-            assertEquals(asked, served.size(), () -> "each request has its answer, but for " + unserved);
-            assertTrue(one.answered() + two.answered() > asked, "copies beside them");
-            on(loop, () -> {
+                    () -> shadow.service().status().toString());
+            assertEquals(requests, served.size(), () -> "requests without a value: " + unserved);
+            assertTrue(one.answered() + two.answered() > requests, "no copies were sent");
+            runOnLoop(loop, () -> {
                 drain.pause(clock.now());
                 return null;
             });
-            await(() -> links(loop, work) == 0);
-            on(loop, () -> {
-                work.stop();
+            await(() -> links(loop, shadow) == 0);
+            runOnLoop(loop, () -> {
+                shadow.stop();
                 return null;
             });
         } finally {
@@ -174,9 +179,9 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), cache.port()));
     }
 
-    /** Sums as the lines for staff have them. */
-    private static long count(ShadowCoordinator work, String counter) {
-        return work.part().status().stream()
+    /** Returns the sum of a counter over the status lines. */
+    private static long count(ShadowCoordinator shadow, String counter) {
+        return shadow.service().status().stream()
                 .filter(l -> l.startsWith("shadow counts:"))
                 .flatMap(l -> List.of(l.split(" ")).stream())
                 .filter(w -> w.startsWith(counter + "="))
@@ -186,7 +191,7 @@
 
     private void ask(EventLoop loop, ModuleHost host, int i) throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
-        on(loop, () -> {
+        runOnLoop(loop, () -> {
             RingBuffer ring = new RingBuffer();
             ring.put(("mg " + String.format("%016x", 1 + i % 50) + " v Or" + i + " Pc=read,d=4000\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
@@ -206,11 +211,11 @@
         assertTrue(answered.await(5, TimeUnit.SECONDS));
     }
 
-    private static int links(EventLoop loop, ShadowCoordinator work) {
+    private static int links(EventLoop loop, ShadowCoordinator shadow) {
         int[] links = new int[1];
         try {
-            on(loop, () -> {
-                work.count((name, n) -> links[0] = (int) n);
+            runOnLoop(loop, () -> {
+                shadow.count((name, n) -> links[0] = (int) n);
                 return null;
             });
         } catch (Exception e) {
@@ -221,12 +226,12 @@
 
     private static void await(BooleanSupplier what) throws InterruptedException {
         for (int i = 0; !what.getAsBoolean(); i++) {
-            assertTrue(i < 2000, "it did not come to that");
+            assertTrue(i < 2000, "condition not met in time");
             Thread.sleep(5);
         }
     }
 
-    private static <T> T on(EventLoop loop, java.util.concurrent.Callable<T> what) throws Exception {
+    private static <T> T runOnLoop(EventLoop loop, java.util.concurrent.Callable<T> what) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(() -> {
             try {
