--- a/router/src/test/java/stagepier/app/ShadowFleetLiveTest.java
+++ b/router/src/test/java/stagepier/app/ShadowFleetLiveTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three routers as they are put together, over sockets, with a candidate map that is named by one file. */
+/** Runs three complete routers over sockets with one candidate map. */
 @Timeout(120)
 class ShadowFleetLiveTest {
     private static final int ROUTERS = 3;
@@ -65,15 +65,15 @@
                 Map.of("GW_FLEET", fleet.toString(), "GW_NAME", name));
     }
 
-    /** The lines for staff at a router, once one of them is as wanted. */
+    /** Waits until a status line of a router matches and returns that line. */
     private String awaitLine(int router, Predicate<String> wanted) throws Exception {
         List<String> seen = new ArrayList<>();
-        for (long till = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S); System.nanoTime() < till; ) {
+        for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_S); System.nanoTime() < deadline; ) {
             seen.clear();
-            try (Socket staff = new Socket(InetAddress.getLoopbackAddress(), consoles.get(router))) {
-                staff.setSoTimeout(200);
-                Rehearsal.write(staff, "STATUS\n");
-                BufferedReader in = Rehearsal.reader(staff);
+            try (Socket console = new Socket(InetAddress.getLoopbackAddress(), consoles.get(router))) {
+                console.setSoTimeout(200);
+                Rehearsal.write(console, "STATUS\n");
+                BufferedReader in = Rehearsal.reader(console);
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     seen.add(line);
                     if (wanted.test(line)) {
@@ -81,16 +81,16 @@
                     }
                 }
             } catch (java.net.SocketTimeoutException e) {
-                // All lines are there.
+                // All lines have been read.
                 Thread.sleep(50);
             }
-            ask(50);
+            sendRequests(50);
         }
-        throw new AssertionError("not seen in " + seen);
+        throw new AssertionError("no matching line in " + seen);
     }
 
-    /** Asks all routers for some keys; each answer has to come, and be that of a cache server. */
-    private void ask(int requests) throws Exception {
+    /** Requests some keys from all routers and asserts that each answer comes from a cache server. */
+    private void sendRequests(int requests) throws Exception {
         for (int port : ports) {
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 client.setSoTimeout(5000);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void threeRoutersTryACandidateTogether() throws Exception {
+    void threeRoutersTestCandidateTogether() throws Exception {
         Path file = folder.resolve("candidate.toml");
         Files.writeString(file, CANDIDATE);
         Path fleet = fleet(Rehearsal.freePort(), Rehearsal.freePort(), Rehearsal.freePort());
@@ -130,8 +130,8 @@
                                 && l.contains("heard of 3 of 3 routers"));
                 awaitLine(i, l -> l.startsWith("shadow counts:") && l.contains(" same=") && !l.contains(" wrong="));
             }
-            // Whatever the verdict may be on a busy machine, the wish is heard at the router that is told to read the
-            // file again.
+            // The verdict depends on the load of the machine, but the reloaded router must report the requested
+            // promotion.
             Files.writeString(file, CANDIDATE.replace("[budget]", "[promotion]\nwish = \"promote\"\n[budget]"));
             routers.get(0).reload(configs.get(0));
             awaitLine(
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aBadCandidateIsNamedWithFileLineAndKey() throws Exception {
+    void invalidCandidateIsReportedWithFileLineAndKey() throws Exception {
         Files.writeString(folder.resolve("candidate.toml"), CANDIDATE.replace("slice = 10000", "slice = 0"));
         Path fleet = fleet(1, 2, 3);
         Config config = config(StandInAgent.known(), 1, 1, 1, "n0", fleet);
--- a/router/src/test/java/stagepier/app/SoakClient.java
+++ b/router/src/test/java/stagepier/app/SoakClient.java
@@ -11,61 +11,62 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A client of one router in a soak: asks in a manner drawn by its seed, keeps its connection until the router ends it or it leaves by
- * itself, and holds every answer against what the protocol owes it.
+ * A client of one router in a soak test. Sends requests with a given behaviour and timing drawn from a seed, keeps its
+ * connection until the router or the client closes it, and checks every answer against the protocol.
  */
 final class SoakClient implements Runnable {
-    /** How it sends its commands. */
-    enum Manner {
-        /** One at a time, each after the answer to the one before. */
+    /** The way in which a client sends its commands. */
+    enum Behaviour {
+        /** One at a time, each after the previous answer. */
         ONE_BY_ONE,
-        /** Several at once. */
+        /** Several in one write. */
         PIPELINED,
-        /** In pieces that end one command and begin the next. */
+        /** In writes that end one command and start the next. */
         ACROSS,
-        /** Closes its connection right after a request now and then. */
+        /** Sometimes closes its connection directly after a request. */
         LEAVING,
-        /** Begins a command now and then and does not go on. */
+        /** Sometimes sends a partial command and stops. */
         STOPPING
     }
 
     private static final int DEADLINE_MS = 1900;
-    /** An answer that comes later than this after its time is a lost one. */
-    private static final int LATE_MOST_MS = 500;
-    /** Who sends within so many milliseconds before it sees the end may have crossed it. */
+    /** An answer that arrives later than this after its deadline counts as lost. */
+    private static final int MAX_LATE_MS = 500;
+    /** A request sent within this time before the client detects the close may have crossed the close. */
     private static final int CROSSING_MS = 500;
 
     private static final int POLL_MS = 10;
-    private static final int PIPELINED_MOST = 4;
-    /** A client that stops in the middle is owed an end after 3 s. */
-    private static final int STOPPED_MOST_MS = 3000;
+    private static final int MAX_PIPELINED = 4;
+    /** The router must close the link of a client with a partial command after 3 s. */
+    private static final int PARTIAL_COMMAND_LIMIT_MS = 3000;
 
-    /** A request that has no answer yet. */
-    private record Asked(String id, boolean write, long atNanos) {}
+    /** A request without an answer. */
+    private record OpenRequest(String id, boolean write, long atNanos) {}
 
     private final String name;
-    private final Manner manner;
+    private final Behaviour behaviour;
     private final SoakRouter router;
     private final SoakLedger ledger;
     private final Random random;
     private final BooleanSupplier isOver;
-    private final Deque<Asked> open = new ArrayDeque<>();
+    private final Deque<OpenRequest> open = new ArrayDeque<>();
     private final StringBuilder read = new StringBuilder();
     private int asked;
     private volatile SoakConnection connection;
-    /** What it has written of a command that is not whole. */
-    private String begun = "";
+    /** The part of an incomplete command that has been written. */
+    private String partial = "";
 
-    SoakClient(String name, Manner manner, SoakRouter router, SoakLedger ledger, long seed, BooleanSupplier isOver) {
+    SoakClient(
+            String name, Behaviour behaviour, SoakRouter router, SoakLedger ledger, long seed, BooleanSupplier isOver) {
         this.name = name;
-        this.manner = manner;
+        this.behaviour = behaviour;
         this.router = router;
         this.ledger = ledger;
         this.isOver = isOver;
         random = new Random(seed);
     }
 
-    /** The connection that it holds, or null. */
+    /** Returns the open connection, or null. */
     SoakConnection connection() {
         return connection;
     }
@@ -77,15 +78,15 @@
                 if (connection == null) {
                     connect();
                 } else {
-                    step();
+                    sendOrPoll();
                 }
             } catch (IOException e) {
-                ended();
+                handleClose();
             } catch (InterruptedException e) {
                 return;
             }
         }
-        drop();
+        disconnect();
     }
 
     private void connect() throws InterruptedException {
@@ -100,7 +101,7 @@
         }
     }
 
-    private void step() throws IOException, InterruptedException {
+    private void sendOrPoll() throws IOException, InterruptedException {
         if (open.isEmpty()) {
             send();
         }
@@ -110,32 +111,32 @@
     }
 
     private void send() throws IOException, InterruptedException {
-        switch (manner) {
+        switch (behaviour) {
             case ONE_BY_ONE -> write(command() + "\r\n");
             case PIPELINED -> {
                 StringBuilder all = new StringBuilder();
-                for (int n = 1 + random.nextInt(PIPELINED_MOST); n > 0; n--) {
+                for (int n = 1 + random.nextInt(MAX_PIPELINED); n > 0; n--) {
                     all.append(command()).append("\r\n");
                 }
                 write(all.toString());
             }
             case ACROSS -> {
-                String rest = "hello\r\n".substring(begun.length());
-                begun = "hel";
-                write(rest + command() + "\r\n" + begun);
-                connection.expectsErrors();
+                String rest = "hello\r\n".substring(partial.length());
+                partial = "hel";
+                write(rest + command() + "\r\n" + partial);
+                connection.expectErrors();
             }
             case LEAVING -> {
                 write(command() + "\r\n");
                 if (random.nextInt(4) == 0) {
-                    open.forEach(one -> ledger.left(one.id()));
-                    drop();
+                    open.forEach(one -> ledger.recordDisconnect(one.id()));
+                    disconnect();
                 }
             }
             case STOPPING -> {
                 if (random.nextInt(10) == 0) {
                     write("mg half");
-                    awaitEnd();
+                    awaitClose();
                 } else {
                     write(command() + "\r\n");
                 }
@@ -146,27 +147,27 @@
         }
     }
 
-    private void awaitEnd() throws IOException {
+    private void awaitClose() throws IOException {
         long from = System.nanoTime();
-        connection.expectsErrors();
+        connection.expectErrors();
         while (!isOver.getAsBoolean()) {
             poll();
-            if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from) > STOPPED_MOST_MS + LATE_MOST_MS) {
-                ledger.broken(name + " stopped in a command and was held, " + connection);
-                drop();
+            if (TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from) > PARTIAL_COMMAND_LIMIT_MS + MAX_LATE_MS) {
+                ledger.violation(name + " sent a partial command and was not disconnected, " + connection);
+                disconnect();
                 return;
             }
         }
     }
 
-    /** A command without its line end, which is asked once it is written. */
+    /** Returns a new command without its line end and records it as open. */
     private String command() {
         String id = name + "x" + asked++;
         int kind = random.nextInt(4);
         boolean write = kind == 0;
         String head = (write ? "ms k" + id + " 2 O" : "mg k" + asked % 50 + " v O") + id;
-        ledger.sent(id, head);
-        open.add(new Asked(id, write, System.nanoTime()));
+        ledger.recordSent(id, head);
+        open.add(new OpenRequest(id, write, System.nanoTime()));
         String attributes = write
                 ? " Pc=put,t=x,d=%d,k=%s\r\nab".formatted(DEADLINE_MS, id)
                 : " Pc=%s,t=x,d=%d".formatted(kind == 1 ? "once" : "read", DEADLINE_MS);
@@ -174,26 +175,26 @@
     }
 
     private void write(String text) throws IOException {
-        connection.asked(!open.isEmpty());
+        connection.setRequestOpen(!open.isEmpty());
         Rehearsal.write(connection.socket(), text);
     }
 
-    /** Reads for a moment and takes the answers that are whole. */
+    /** Reads until a short time-out and processes the complete answers. */
     private void poll() throws IOException {
         byte[] bytes = new byte[4096];
         try {
             int count = connection.socket().getInputStream().read(bytes);
             if (count < 0) {
-                throw new IOException("the end");
+                throw new IOException("connection closed");
             }
             read.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
-            takeAnswers();
+            processAnswers();
         } catch (SocketTimeoutException e) {
             checkLate();
         }
     }
 
-    private void takeAnswers() {
+    private void processAnswers() {
         for (int end = read.indexOf("\r\n"); end >= 0; end = read.indexOf("\r\n")) {
             String line = read.substring(0, end);
             int length = end + 2;
@@ -206,55 +207,55 @@
                 length = value + 2;
             }
             read.delete(0, length);
-            answered(line);
+            processAnswer(line);
         }
-        connection.asked(!open.isEmpty());
+        connection.setRequestOpen(!open.isEmpty());
     }
 
-    private void answered(String line) {
+    private void processAnswer(String line) {
         if (connection.isExpectedError(line)) {
             return;
         }
-        Asked first = open.poll();
-        boolean fits = first != null
+        OpenRequest first = open.poll();
+        boolean valid = first != null
                 && (line.equals("VA 2 O" + first.id() + "|hi") && !first.write()
                         || line.equals("HD O" + first.id() + " cab") && first.write()
                         || line.startsWith("SERVER_ERROR "));
-        if (!fits) {
-            ledger.broken(name + " got '" + line + "' for " + first + ", " + connection);
-        } else if (millisSince(first.atNanos()) > DEADLINE_MS + LATE_MOST_MS) {
-            ledger.broken(
+        if (!valid) {
+            ledger.violation(name + " got '" + line + "' for " + first + ", " + connection);
+        } else if (millisSince(first.atNanos()) > DEADLINE_MS + MAX_LATE_MS) {
+            ledger.violation(
                     "lost: " + first + " was answered after " + millisSince(first.atNanos()) + " ms, " + connection);
         }
     }
 
     private void checkLate() throws IOException {
-        Asked first = open.peek();
-        if (first != null && millisSince(first.atNanos()) > DEADLINE_MS + LATE_MOST_MS) {
+        OpenRequest first = open.peek();
+        if (first != null && millisSince(first.atNanos()) > DEADLINE_MS + MAX_LATE_MS) {
             if (!connection.incarnation().wasKilled()) {
-                ledger.broken("lost: " + first + " has no answer, " + connection);
+                ledger.violation("lost: " + first + " has no answer, " + connection);
             }
-            drop();
+            disconnect();
         }
     }
 
-    /** The router has ended the connection, or it broke. */
-    private void ended() {
-        for (Asked one : open) {
+    /** Handles a connection that the router closed or that failed. */
+    private void handleClose() {
+        for (OpenRequest one : open) {
             if (millisSince(one.atNanos()) > CROSSING_MS
                     && !connection.incarnation().wasKilled()) {
-                ledger.broken("lost: " + one + " met the end of its connection, " + connection);
+                ledger.violation("lost: " + one + " was open when its connection closed, " + connection);
             }
         }
-        drop();
+        disconnect();
     }
 
-    private void drop() {
+    private void disconnect() {
         SoakConnection old = connection;
         connection = null;
         open.clear();
         read.setLength(0);
-        begun = "";
+        partial = "";
         if (old != null) {
             old.close();
         }
--- a/router/src/test/java/stagepier/app/SoakConnection.java
+++ b/router/src/test/java/stagepier/app/SoakConnection.java
@@ -4,16 +4,16 @@
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
 
-/** A connection that a client of a soak holds, as others may look at it. */
+/** A connection of a soak client whose state other threads may read. */
 final class SoakConnection {
     private final Socket socket;
     private final SoakRouter.Incarnation incarnation;
     private final long openedAt = System.nanoTime();
-    /** When the request was sent that is open; 0 while none is. */
-    private volatile long askedAt;
+    /** Time at which the open request was sent; 0 if none is open. */
+    private volatile long requestSentAt;
 
     private volatile boolean closed;
-    private boolean expectsErrors;
+    private boolean expectErrors;
 
     SoakConnection(Socket socket, SoakRouter.Incarnation incarnation) {
         this.socket = socket;
@@ -28,29 +28,30 @@
         return incarnation;
     }
 
-    /** Whether a request is open on it from now on. */
-    void asked(boolean isOpen) {
-        askedAt = isOpen ? System.nanoTime() : 0;
+    /** Records whether a request is open from now on. */
+    void setRequestOpen(boolean isOpen) {
+        requestSentAt = isOpen ? System.nanoTime() : 0;
     }
 
-    /** It has sent what is no request. */
-    void expectsErrors() {
-        expectsErrors = true;
+    /** Records that the client has sent input that is not a request. */
+    void expectErrors() {
+        expectErrors = true;
     }
 
     boolean isExpectedError(String line) {
-        return expectsErrors && (line.equals("ERROR") || line.startsWith("CLIENT_ERROR "));
+        return expectErrors && (line.equals("ERROR") || line.startsWith("CLIENT_ERROR "));
     }
 
     /**
-     * Whether it is held as no connection may be at the end of a drain: idle, or with a request of the last seconds.
+     * Returns whether the connection is still open although a drain should have closed it: idle, or with a recent
+     * request.
      *
-     * @param openedBefore younger ones are left out, as {@link System#nanoTime} has it
-     * @param askedAfter   a request that was sent before may still be open
+     * @param openedBefore time by {@link System#nanoTime}; connections opened later are ignored
+     * @param sentAfter    time by {@link System#nanoTime}; requests sent earlier may still be open
      */
-    boolean isHeld(long openedBefore, long askedAfter) {
-        long at = askedAt;
-        return !closed && openedAt < openedBefore && (at == 0 || at > askedAfter);
+    boolean isHeld(long openedBefore, long sentAfter) {
+        long at = requestSentAt;
+        return !closed && openedAt < openedBefore && (at == 0 || at > sentAfter);
     }
 
     void close() {
@@ -58,7 +59,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is of no more use either way.
+            // The connection is not used any more either way.
             return;
         }
     }
--- a/router/src/test/java/stagepier/app/SoakLedger.java
+++ b/router/src/test/java/stagepier/app/SoakLedger.java
@@ -6,49 +6,51 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** What the clients of a soak sent and left, and which rules were broken. For many threads. */
+/** Records the requests and disconnects of soak clients and the violations that were found. Thread-safe. */
 final class SoakLedger {
-    /** An attempt begins no later than 100 ms after its client left; the rest is for the threads of the test. */
-    private static final int BEGINS_AFTER_LEAVING_MOST_MS = 400;
+    /**
+     * Executions start at most 100 ms after the client disconnected; the rest allows for scheduling delays of the test.
+     */
+    private static final int MAX_START_AFTER_DISCONNECT_MS = 400;
 
-    private static final String ONCE = " Pc=once,";
+    private static final String AT_MOST_ONCE = " Pc=once,";
 
     private final Map<String, String> sent = new ConcurrentHashMap<>();
-    private final Map<String, Long> leftAt = new ConcurrentHashMap<>();
-    private final List<String> broken = new CopyOnWriteArrayList<>();
+    private final Map<String, Long> disconnectedAt = new ConcurrentHashMap<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
 
-    /** @param head the words of a command that are passed on as they are */
-    void sent(String id, String head) {
+    /** @param head the start of the command, which the router forwards unchanged */
+    void recordSent(String id, String head) {
         sent.put(id, head);
     }
 
-    /** The client of a request has closed its connection. */
-    void left(String id) {
-        leftAt.put(id, System.nanoTime());
+    /** Records that the client of a request has closed its connection. */
+    void recordDisconnect(String id) {
+        disconnectedAt.put(id, System.nanoTime());
     }
 
-    void broken(String what) {
-        broken.add(what);
+    void violation(String what) {
+        violations.add(what);
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    /** Looks through all that came to cache servers. */
+    /** Checks all commands that the cache servers received. */
     void checkForwarded(List<StandInCache> caches) {
         Map<String, Integer> runs = new ConcurrentHashMap<>();
         for (StandInCache cache : caches) {
             for (StandInCache.Received command : cache.commands()) {
                 checkForwarded(command);
-                if (command.line().contains(ONCE)) {
+                if (command.line().contains(AT_MOST_ONCE)) {
                     runs.merge(id(command), 1, Integer::sum);
                 }
             }
         }
         runs.forEach((id, count) -> {
             if (count > 1) {
-                broken.add("duplicate: " + id + " ran " + count + " times");
+                violations.add("duplicate: " + id + " ran " + count + " times");
             }
         });
     }
@@ -59,14 +61,14 @@
 
     private void checkForwarded(StandInCache.Received command) {
         String id = id(command);
-        if (!command.line().startsWith(sent.getOrDefault(id, "nobody") + " P")) {
-            broken.add("nobody sent " + command.line());
+        if (!command.line().startsWith(sent.getOrDefault(id, "unknown") + " P")) {
+            violations.add("not sent by any client: " + command.line());
         }
-        Long left = leftAt.get(id);
-        if (left != null) {
-            long after = TimeUnit.NANOSECONDS.toMillis(command.atNanos() - left);
-            if (after > BEGINS_AFTER_LEAVING_MOST_MS) {
-                broken.add("lost: " + command.line() + " came " + after + " ms after its client left");
+        Long disconnected = disconnectedAt.get(id);
+        if (disconnected != null) {
+            long after = TimeUnit.NANOSECONDS.toMillis(command.atNanos() - disconnected);
+            if (after > MAX_START_AFTER_DISCONNECT_MS) {
+                violations.add("lost: " + command.line() + " came " + after + " ms after its client disconnected");
             }
         }
     }
--- a/router/src/test/java/stagepier/app/SoakRouter.java
+++ b/router/src/test/java/stagepier/app/SoakRouter.java
@@ -11,22 +11,22 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** A router of a soak through its restarts, with staff and signals drawn by a seed. */
+/** A router in a soak test across its restarts, with console commands and signals drawn from a seed. */
 final class SoakRouter implements Runnable {
-    private static final int GONE_WITHIN_MS = 4000;
-    /** Time limits are longer by this; and so much is for the threads of the test. */
+    private static final int DRAIN_LIMIT_MS = 4000;
+    /** Tolerance added to time limits for scheduling delays of the test's threads. */
     private static final int SLACK_MS = 150;
-    /** A connection that came within so many milliseconds before the end of a drain may be waiting for its first word. */
-    private static final int FRESH_MS = 600;
+    /** A connection opened within this time before the end of a drain may still be waiting for its first command. */
+    private static final int NEW_CONNECTION_MS = 600;
 
     private static final int LATE_REQUEST_MS = 2000;
-    /** The longest deadline of the settings and 0.7 s. */
-    private static final int KILLED_AFTER_MS = 2700;
+    /** The longest deadline of the settings plus 0.7 s. */
+    private static final int KILL_AFTER_MS = 2700;
 
-    private static final int READY_MOST_MS = 30_000;
-    private static final int YES_WITHIN_MS = 2000;
+    private static final int READY_LIMIT_MS = 30_000;
+    private static final int RESUME_LIMIT_MS = 2000;
 
-    /** One process of it. */
+    /** One process of the router. */
     static final class Incarnation {
         private final int number;
         private final RouterProcess process;
@@ -53,7 +53,7 @@
             return folder.getFileName() + "." + number + "[" + calls + "]";
         }
 
-        private synchronized void note(String call) {
+        private synchronized void recordCall(String call) {
             calls.append(calls.length() == 0 ? "" : " ").append(call);
         }
     }
@@ -78,7 +78,7 @@
         this.isOver = isOver;
         random = new Random(seed);
         faults = new SyscallFaults(folder);
-        begin();
+        startProcess();
     }
 
     Incarnation current() {
@@ -93,35 +93,37 @@
         clients.add(client);
     }
 
-    private void begin() throws IOException {
-        Path own = Files.createDirectories(folder.resolve(Integer.toString(all.size())));
+    private void startProcess() throws IOException {
+        Path processFolder = Files.createDirectories(folder.resolve(Integer.toString(all.size())));
         Incarnation next = new Incarnation(
-                all.size(), RouterProcess.withConsole(own, agent, faults.environment(), entries), folder);
+                all.size(), RouterProcess.withConsole(processFolder, agent, faults.environment(), entries), folder);
         all.add(next);
         current.set(next);
     }
 
-    /** Until it says that it serves, or that it is paused. */
+    /** Waits until the console reports that the router serves or is paused. */
     void awaitReady() throws InterruptedException {
-        await("ready", READY_MOST_MS, () -> {
-            String status = current().process.says("STATUS");
+        await("ready", READY_LIMIT_MS, () -> {
+            String status = current().process.callConsole("STATUS");
             return status.startsWith("OK") || status.startsWith("ERR paused");
         });
     }
 
-    /** Until its console answers: before that a JVM may not have come to its own code, and a signal ends it. */
-    private void awaitHandlers() throws InterruptedException {
+    /**
+     * Waits until the console answers: before that the signal handlers may not be installed, and a signal ends the JVM.
+     */
+    private void awaitConsole() throws InterruptedException {
         await(
-                "at its console",
-                READY_MOST_MS,
-                () -> !current().process.says("STATUS").isEmpty());
+                "answering on its console",
+                READY_LIMIT_MS,
+                () -> !current().process.callConsole("STATUS").isEmpty());
     }
 
-    private void await(String what, int mostMs, BooleanSupplier condition) throws InterruptedException {
+    private void await(String what, int limitMs, BooleanSupplier condition) throws InterruptedException {
         long from = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            if (millisSince(from) > mostMs) {
-                ledger.broken("not " + what + " within " + mostMs + " ms: " + current());
+            if (millisSince(from) > limitMs) {
+                ledger.violation("not " + what + " within " + limitMs + " ms: " + current());
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(10);
@@ -132,58 +134,58 @@
     public void run() {
         try {
             while (!isOver.getAsBoolean()) {
-                act();
+                performRandomAction();
                 TimeUnit.MILLISECONDS.sleep(random.nextInt(700));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (Exception e) {
-            ledger.broken("the soak itself failed at " + current() + ": " + e);
+            ledger.violation("the soak test failed at " + current() + ": " + e);
         }
     }
 
-    /** Whether its process is there, which nobody has ended. */
+    /** Returns whether the process is alive; records a violation if it ended without being stopped. */
     private boolean isAlive(Incarnation one) throws IOException {
         if (one.process.process().isAlive()) {
             return true;
         }
         List<String> log = one.process.log().lines().toList();
-        ledger.broken("crashed with " + one.process.process().exitValue() + ": " + one + " "
+        ledger.violation("crashed with " + one.process.process().exitValue() + ": " + one + " "
                 + log.subList(Math.max(0, log.size() - 3), log.size()));
         return false;
     }
 
-    private void act() throws Exception {
+    private void performRandomAction() throws Exception {
         if (!isAlive(current())) {
             restart();
         }
-        awaitHandlers();
+        awaitConsole();
         switch (random.nextInt(8)) {
-            case 0 -> pauseToItsEnd();
+            case 0 -> pauseUntilDrained();
             case 1 -> pauseAndResume();
             case 2 -> pauseThenTerminate();
             case 3 -> terminate();
             case 4 -> kill();
             case 5 -> pauseWhileStarting();
             case 6 -> signal("HUP");
-            default -> standStill();
+            default -> suspendProcess();
         }
     }
 
     private boolean call(String line) {
-        current().note(line);
-        return current().process.says(line).startsWith("OK");
+        current().recordCall(line);
+        return current().process.callConsole(line).startsWith("OK");
     }
 
     private void signal(String name) throws Exception {
-        current().note(name);
+        current().recordCall(name);
         current().process.signal(name);
     }
 
-    private void pauseToItsEnd() throws Exception {
+    private void pauseUntilDrained() throws Exception {
         long at = System.nanoTime();
         if (call("PAUSE")) {
-            awaitGone(current(), at);
+            awaitDrained(current(), at);
             resume();
         }
     }
@@ -197,7 +199,7 @@
 
     private void resume() throws InterruptedException {
         if (call("RESUME")) {
-            await("yes again", YES_WITHIN_MS, () -> "MN".equals(alive(current())));
+            await("serving again", RESUME_LIMIT_MS, () -> "MN".equals(probe(current())));
         }
     }
 
@@ -211,33 +213,33 @@
     private void pauseWhileStarting() throws Exception {
         kill();
         long[] at = new long[1];
-        await("called", READY_MOST_MS, () -> {
+        await("reachable on the console", READY_LIMIT_MS, () -> {
             at[0] = System.nanoTime();
-            return current().process.says("PAUSE").startsWith("OK");
+            return current().process.callConsole("PAUSE").startsWith("OK");
         });
-        current().note("PAUSE-early");
+        current().recordCall("PAUSE-early");
         awaitReady();
-        awaitGone(current(), Math.max(at[0], System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LATE_REQUEST_MS)));
+        awaitDrained(current(), Math.max(at[0], System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(LATE_REQUEST_MS)));
         resume();
     }
 
-    private void awaitGone(Incarnation paused, long at) throws InterruptedException {
-        TimeUnit.MILLISECONDS.sleep(Math.max(0, GONE_WITHIN_MS + SLACK_MS - millisSince(at)));
-        if ("MN".equals(alive(paused))) {
-            ledger.broken("says yes after PAUSE: " + paused);
+    private void awaitDrained(Incarnation paused, long at) throws InterruptedException {
+        TimeUnit.MILLISECONDS.sleep(Math.max(0, DRAIN_LIMIT_MS + SLACK_MS - millisSince(at)));
+        if ("MN".equals(probe(paused))) {
+            ledger.violation("probe succeeds after PAUSE: " + paused);
         }
-        long freshAt = at + TimeUnit.MILLISECONDS.toNanos(GONE_WITHIN_MS - FRESH_MS);
+        long newAt = at + TimeUnit.MILLISECONDS.toNanos(DRAIN_LIMIT_MS - NEW_CONNECTION_MS);
         long lateAt = at + TimeUnit.MILLISECONDS.toNanos(LATE_REQUEST_MS + SLACK_MS);
         for (SoakClient client : clients) {
             SoakConnection held = client.connection();
-            if (held != null && held.incarnation() == paused && held.isHeld(freshAt, lateAt)) {
-                ledger.broken("lost: held " + millisSince(at) + " ms after PAUSE, " + held);
+            if (held != null && held.incarnation() == paused && held.isHeld(newAt, lateAt)) {
+                ledger.violation("lost: connection held " + millisSince(at) + " ms after PAUSE, " + held);
             }
         }
     }
 
-    /** What it answers a probe with; nothing where it cannot be asked. */
-    private static String alive(Incarnation incarnation) {
+    /** Returns the answer to a probe, or an empty string if the process does not answer. */
+    private static String probe(Incarnation incarnation) {
         try {
             return incarnation.process.ask("mn");
         } catch (Exception | AssertionError e) {
@@ -248,12 +250,12 @@
     private void terminate() throws Exception {
         Incarnation old = current();
         signal("TERM");
-        boolean ended = old.process.process().waitFor(KILLED_AFTER_MS, TimeUnit.MILLISECONDS);
+        boolean ended = old.process.process().waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS);
         if (ended && old.process.process().exitValue() != 0) {
-            ledger.broken("ended with " + old.process.process().exitValue() + ": " + old);
+            ledger.violation("ended with " + old.process.process().exitValue() + ": " + old);
         }
         if (!ended) {
-            old.note("KILL");
+            old.recordCall("KILL");
             old.process.close();
         }
         restart();
@@ -262,41 +264,41 @@
     private void kill() throws Exception {
         Incarnation old = current();
         old.killed = true;
-        old.note("KILL");
+        old.recordCall("KILL");
         old.process.close();
-        begin();
+        startProcess();
         if (random.nextBoolean()) {
             awaitReady();
         }
     }
 
     private void restart() throws Exception {
-        begin();
+        startProcess();
         awaitReady();
     }
 
-    private void standStill() throws Exception {
+    private void suspendProcess() throws Exception {
         signal("STOP");
         TimeUnit.MILLISECONDS.sleep(random.nextInt(150));
         signal("CONT");
     }
 
-    /** Ends the last process in order, and looks through all logs. */
-    void end(Supplier<List<String>> faultsOfLog) throws Exception {
+    /** Stops the last process gracefully and checks the logs of all processes. */
+    void stop(Supplier<List<String>> forbiddenLogTexts) throws Exception {
         awaitReady();
         Incarnation last = current();
         if (!isAlive(last)) {
             return;
         }
         last.process.signal("TERM");
-        if (!last.process.process().waitFor(KILLED_AFTER_MS, TimeUnit.MILLISECONDS)) {
-            ledger.broken("did not end: " + last);
+        if (!last.process.process().waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS)) {
+            ledger.violation("did not exit after SIGTERM: " + last);
         }
         for (Incarnation one : all) {
             List<String> log = one.process.log().lines().toList();
             for (int n = 0; n < log.size(); n++) {
-                if (faultsOfLog.get().stream().anyMatch(log.get(n)::contains)) {
-                    ledger.broken(one + ": " + log.subList(Math.max(0, n - 1), Math.min(log.size(), n + 3)));
+                if (forbiddenLogTexts.get().stream().anyMatch(log.get(n)::contains)) {
+                    ledger.violation(one + ": " + log.subList(Math.max(0, n - 1), Math.min(log.size(), n + 3)));
                 }
             }
         }
--- a/router/src/test/java/stagepier/app/SocketWarmUpTest.java
+++ b/router/src/test/java/stagepier/app/SocketWarmUpTest.java
@@ -15,32 +15,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A warm-up that waits for a call which never ends would keep a router from ever serving. */
+/** Prevents a warm-up that waits for a call without end and so keeps the router from serving. */
 @Timeout(20)
 class SocketWarmUpTest {
-    /** What the stand-in for a console does with a call. */
+    /** Behaviour of the stand-in console on a call. */
     private enum Console {
         ANSWERS,
         CLOSES,
-        SAYS_NOTHING,
-        IS_NOT_THERE
+        SILENT,
+        REFUSES
     }
 
-    private static int callsUntilDone(Console how) throws Exception {
+    private static int callsUntilDone(Console behaviour) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         ServerSocket console = Rehearsal.listen();
         try {
             EventLoop loop = group.next();
-            Thread staff = new Thread(() -> {
+            Thread consoleThread = new Thread(() -> {
                 try {
-                    while (how != Console.IS_NOT_THERE) {
+                    while (behaviour != Console.REFUSES) {
                         Socket caller = console.accept();
                         calls.incrementAndGet();
-                        if (how == Console.ANSWERS) {
+                        if (behaviour == Console.ANSWERS) {
                             Rehearsal.write(caller, "ERR starting\n");
                         }
-                        if (how != Console.SAYS_NOTHING) {
+                        if (behaviour != Console.SILENT) {
                             caller.close();
                         }
                     }
@@ -49,9 +49,9 @@
                     calls.addAndGet(0);
                 }
             });
-            staff.start();
+            consoleThread.start();
             InetSocketAddress address = new InetSocketAddress(console.getInetAddress(), console.getLocalPort());
-            if (how == Console.IS_NOT_THERE) {
+            if (behaviour == Console.REFUSES) {
                 console.close();
             }
             CompletableFuture<Void> done = new CompletableFuture<>();
@@ -65,14 +65,14 @@
     }
 
     @Test
-    void callsManyTimesWhereTheConsoleAnswers() throws Exception {
+    void callsConsoleManyTimesIfItAnswers() throws Exception {
         assertTrue(callsUntilDone(Console.ANSWERS) >= 100);
     }
 
     @Test
-    void endsWhateverTheConsoleDoes() throws Exception {
+    void completesIfConsoleDoesNotAnswer() throws Exception {
         callsUntilDone(Console.CLOSES);
-        callsUntilDone(Console.SAYS_NOTHING);
-        callsUntilDone(Console.IS_NOT_THERE);
+        callsUntilDone(Console.SILENT);
+        callsUntilDone(Console.REFUSES);
     }
 }
--- a/router/src/test/java/stagepier/app/StaffTest.java
+++ b/router/src/test/java/stagepier/app/StaffTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real router processes on a socket that a platform holds, with staff at their consoles. */
+/** Router processes that share an inherited listening socket, controlled through their consoles. */
 @Timeout(90)
 class StaffTest {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -65,7 +65,7 @@
         discovery.close();
     }
 
-    /** Starts a router and waits until its console says that it serves. */
+    /** Starts a router and waits until its console reports that it serves. */
     private long start(int console) throws Exception {
         long pid = platform.start(config, console, shared.resolve("log"));
         for (int i = 0; !serves(console); i++) {
@@ -85,7 +85,7 @@
 
     private static boolean serves(int console) {
         try {
-            return ConsoleCaller.call(console, "STATUS").startsWith("OK");
+            return ConsoleClient.call(console, "STATUS").startsWith("OK");
         } catch (IOException e) {
             return false;
         }
@@ -98,7 +98,7 @@
         return client;
     }
 
-    /** Asks on a connection of its own; returns the first line of the answer. */
+    /** Sends a request on a new connection and returns the first line of the answer. */
     private String ask() throws Exception {
         try (Socket client = client()) {
             Rehearsal.write(client, "mg key%d v Oq%d Pc=read,d=1900\r\n".formatted(ids, ids++));
@@ -106,14 +106,14 @@
         }
     }
 
-    private void askMany(int n) throws Exception {
+    private void assertServed(int n) throws Exception {
         for (int i = 0; i < n; i++) {
             assertTrue(ask().startsWith("VA 2 "));
         }
     }
 
     @Test
-    void theConsoleAnswersWhateverComesAndSilentCallersKeepNobodyOut() throws Exception {
+    void consoleAnswersAnyInputAndSilentCallersDoNotBlockOthers() throws Exception {
         int console = Rehearsal.freePort();
         start(console);
         List<Socket> silent = new ArrayList<>();
@@ -122,8 +122,8 @@
             silent.add(s);
             Rehearsal.write(s, i % 2 == 0 ? "" : "STAT");
         }
-        assertEquals("OK serving", ConsoleCaller.call(console, "STATUS"));
-        assertEquals("OK serving", ConsoleCaller.raw(console, "STATUS\r\nmore that nobody asked for\r\n"));
+        assertEquals("OK serving", ConsoleClient.call(console, "STATUS"));
+        assertEquals("OK serving", ConsoleClient.raw(console, "STATUS\r\nfurther input is ignored\r\n"));
         for (String bad : List.of(
                 "\n",
                 "status\n",
@@ -133,127 +133,127 @@
                 "x".repeat(600),
                 "SUSPEND s-00000009\n",
                 "RESTORE s-00000009\n")) {
-            assertTrue(ConsoleCaller.raw(console, bad).startsWith("ERR "), bad);
+            assertTrue(ConsoleClient.raw(console, bad).startsWith("ERR "), bad);
         }
-        askMany(1);
+        assertServed(1);
         for (Socket s : silent) {
             s.close();
         }
     }
 
     @Test
-    void whoIsTakenOutGetsNothingNewThroughListsAndUpgradesUntilItIsPutBack() throws Exception {
+    void suspendedServerGetsNoRequestsThroughListsAndUpgradesUntilRestored() throws Exception {
         int console = Rehearsal.freePort();
         long old = start(console);
-        askMany(40);
+        assertServed(40);
         assertTrue(one.answered() > 0 && other.answered() > 0);
-        assertEquals("OK s-00000001 is out", ConsoleCaller.call(console, "SUSPEND s-00000001"));
-        assertEquals("OK s-00000001 is out already", ConsoleCaller.call(console, "SUSPEND s-00000001"));
+        assertEquals("OK s-00000001 is out", ConsoleClient.call(console, "SUSPEND s-00000001"));
+        assertEquals("OK s-00000001 is out already", ConsoleClient.call(console, "SUSPEND s-00000001"));
         long before = one.answered();
-        askMany(20);
-        // The list says again that it is up, and then all anew.
-        discovery.tell(up(1, one));
-        discovery.awaitHeard();
-        discovery.tellAll(up(1, one), up(2, other));
-        discovery.awaitHeard();
-        askMany(20);
+        assertServed(20);
+        // The list reports the server as up again, first in an update and then in a complete list.
+        discovery.publish(up(1, one));
+        discovery.awaitReceived();
+        discovery.publishAll(up(1, one), up(2, other));
+        discovery.awaitReceived();
+        assertServed(20);
         int next = Rehearsal.freePort();
         long fresh = start(next);
         Platform.terminate(old);
-        assertEquals(0, platform.end(old).get(10, TimeUnit.SECONDS));
-        askMany(20);
-        assertEquals(before, one.answered(), "it got something new");
-        assertEquals("OK s-00000001 is back", ConsoleCaller.call(next, "RESTORE s-00000001"));
-        assertEquals("OK s-00000001 is not out", ConsoleCaller.call(next, "RESTORE s-00000001"));
+        assertEquals(0, platform.exitCode(old).get(10, TimeUnit.SECONDS));
+        assertServed(20);
+        assertEquals(before, one.answered(), "suspended server received a new request");
+        assertEquals("OK s-00000001 is back", ConsoleClient.call(next, "RESTORE s-00000001"));
+        assertEquals("OK s-00000001 is not out", ConsoleClient.call(next, "RESTORE s-00000001"));
         for (int i = 0; one.answered() == before; i++) {
-            assertTrue(i < 400, "still unused");
-            askMany(1);
+            assertTrue(i < 400, "restored server receives no requests");
+            assertServed(1);
         }
         assertTrue(ProcessHandle.of(fresh).isPresent());
     }
 
-    /** What one process is told while both serve holds in the other, too. */
+    /** A ban set on the console of one process also applies in the other process. */
     @Test
-    void aBanToldToOneOfTwoProcessesHoldsInBoth() throws Exception {
+    void banSetInOneProcessAppliesInBoth() throws Exception {
         int console = Rehearsal.freePort();
         int next = Rehearsal.freePort();
         start(console);
         start(next);
-        assertEquals("OK s-00000001 is out", ConsoleCaller.call(next, "SUSPEND s-00000001"));
+        assertEquals("OK s-00000001 is out", ConsoleClient.call(next, "SUSPEND s-00000001"));
         awaitAnswer(console, "SUSPEND s-00000001", "OK s-00000001 is out already");
-        assertEquals("OK s-00000001 is back", ConsoleCaller.call(console, "RESTORE s-00000001"));
+        assertEquals("OK s-00000001 is back", ConsoleClient.call(console, "RESTORE s-00000001"));
         awaitAnswer(next, "RESTORE s-00000001", "OK s-00000001 is not out");
     }
 
     private static void awaitAnswer(int console, String line, String answer) throws Exception {
-        for (int i = 0; !ConsoleCaller.call(console, line).equals(answer); i++) {
-            assertTrue(i < 40, "never heard of it");
+        for (int i = 0; !ConsoleClient.call(console, line).equals(answer); i++) {
+            assertTrue(i < 40, "ban not shared in time");
             Thread.sleep(25);
         }
     }
 
     @Test
-    void aPauseSaysNoClosesIdleLinksFinishesWhatIsOpenAndEndsWithYes() throws Exception {
+    void pauseFailsProbesClosesIdleLinksAndFinishesOpenRequestsUntilResume() throws Exception {
         int console = Rehearsal.freePort();
         start(console);
         try (Socket idle = client();
                 Socket busy = client();
-                Socket half = client()) {
+                Socket partial = client()) {
             Rehearsal.write(idle, "mn\r\n");
             assertEquals("MN", Rehearsal.reader(idle).readLine());
             one.hold(true);
             other.hold(true);
             Rehearsal.write(busy, "mg k v Ob1 Pc=read,d=1900\r\n");
-            Rehearsal.write(half, "mg k v Ob2 Pc=re");
+            Rehearsal.write(partial, "mg k v Ob2 Pc=re");
             one.awaitHeld(other);
-            assertTrue(ConsoleCaller.call(console, "PAUSE").startsWith("OK"));
-            assertTrue(ConsoleCaller.call(console, "STATUS").startsWith("ERR paused"));
-            try (Socket front = client()) {
-                Rehearsal.write(front, "mn\r\n");
-                assertEquals("SERVER_ERROR draining", Rehearsal.reader(front).readLine());
+            assertTrue(ConsoleClient.call(console, "PAUSE").startsWith("OK"));
+            assertTrue(ConsoleClient.call(console, "STATUS").startsWith("ERR paused"));
+            try (Socket probe = client()) {
+                Rehearsal.write(probe, "mn\r\n");
+                assertEquals("SERVER_ERROR draining", Rehearsal.reader(probe).readLine());
             }
-            assertEquals(-1, idle.getInputStream().read(), "closed in time");
-            Rehearsal.write(half, "ad,d=1900\r\n");
+            assertEquals(-1, idle.getInputStream().read(), "idle link not closed");
+            Rehearsal.write(partial, "ad,d=1900\r\n");
             one.hold(false);
             other.hold(false);
             BufferedReader answers = Rehearsal.reader(busy);
             assertTrue(answers.readLine().startsWith("VA 2 Ob1"));
             assertEquals("hi", answers.readLine());
-            assertNull(answers.readLine(), "closed after its answer");
+            assertNull(answers.readLine(), "link not closed after its answer");
         }
-        assertTrue(ConsoleCaller.call(console, "PAUSE").startsWith("OK"));
-        assertEquals("OK clients may come", ConsoleCaller.call(console, "RESUME"));
-        assertEquals("OK clients may come", ConsoleCaller.call(console, "RESUME"));
-        assertEquals("OK serving", ConsoleCaller.call(console, "STATUS"));
-        try (Socket front = client()) {
-            Rehearsal.write(front, "mn\r\n");
-            assertEquals("MN", Rehearsal.reader(front).readLine());
+        assertTrue(ConsoleClient.call(console, "PAUSE").startsWith("OK"));
+        assertEquals("OK clients may come", ConsoleClient.call(console, "RESUME"));
+        assertEquals("OK clients may come", ConsoleClient.call(console, "RESUME"));
+        assertEquals("OK serving", ConsoleClient.call(console, "STATUS"));
+        try (Socket probe = client()) {
+            Rehearsal.write(probe, "mn\r\n");
+            assertEquals("MN", Rehearsal.reader(probe).readLine());
         }
     }
 
-    /** Two upgrades in a row under steady requests: none is lost, though all clients' connections change hands. */
+    /** Two consecutive upgrades under constant load lose no request although all client connections move. */
     @Test
     void underSteadyRequestsEveryOneGetsItsAnswerThroughTwoUpgrades() throws Exception {
         long serving = start(Rehearsal.freePort());
         AtomicBoolean over = new AtomicBoolean();
         AtomicInteger served = new AtomicInteger();
-        AtomicInteger atTheDoor = new AtomicInteger();
+        AtomicInteger closedBeforeAnswer = new AtomicInteger();
         List<Thread> clients = new ArrayList<>();
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
+        List<String> unexpected = new java.util.concurrent.CopyOnWriteArrayList<>();
         for (int c = 0; c < 8; c++) {
             int number = c;
-            Thread thread = new Thread(() -> ask(number, over, served, atTheDoor, wrong));
+            Thread thread = new Thread(() -> ask(number, over, served, closedBeforeAnswer, unexpected));
             clients.add(thread);
             thread.start();
         }
         for (int n = 0; n < 2; n++) {
             long fresh = start(Rehearsal.freePort());
             Platform.terminate(serving);
-            assertEquals(0, platform.end(serving).get(10, TimeUnit.SECONDS));
+            assertEquals(0, platform.exitCode(serving).get(10, TimeUnit.SECONDS));
             serving = fresh;
-            int so = served.get();
-            for (int i = 0; served.get() < so + 50; i++) {
-                assertTrue(i < 400, "nothing is served any more");
+            int servedBefore = served.get();
+            for (int i = 0; served.get() < servedBefore + 50; i++) {
+                assertTrue(i < 400, "no requests are served after the upgrade");
                 Thread.sleep(10);
             }
         }
@@ -261,38 +261,42 @@
         for (Thread thread : clients) {
             thread.join();
         }
-        assertEquals(List.of(), wrong);
-        // Who asks again within a millisecond may cross a close, more so on a busy machine; 16 links are closed at the
-        // least.
-        assertTrue(atTheDoor.get() < 6, atTheDoor + " requests met a close");
-        assertTrue(log().contains("answers_served="), "the log is there to the end");
+        assertEquals(List.of(), unexpected);
+        // A request sent within a millisecond of the previous answer may cross the close of its link, more often on a
+        // busy machine. At least 16 links are closed.
+        assertTrue(closedBeforeAnswer.get() < 6, closedBeforeAnswer + " requests met a closed connection");
+        assertTrue(log().contains("answers_served="), "final counters missing in the log");
     }
 
-    /** Keeps asking on one connection; one that is closed between requests is opened again. */
+    /** Sends requests on one connection; reconnects if it is closed between requests. */
     private void ask(
-            int number, AtomicBoolean over, AtomicInteger served, AtomicInteger atTheDoor, List<String> wrong) {
+            int number,
+            AtomicBoolean over,
+            AtomicInteger served,
+            AtomicInteger closedBeforeAnswer,
+            List<String> unexpected) {
         int n = 0;
         while (!over.get()) {
             try (Socket client = client()) {
                 BufferedReader in = Rehearsal.reader(client);
                 while (!over.get()) {
-                    // Who finds its connection closed before it asks opens another; that is no request at the door.
+                    // A connection that is found closed before the next request is replaced and not counted.
                     if (client.getInputStream().available() == 0 && closed(client)) {
                         break;
                     }
                     Rehearsal.write(client, "mg k%d v Oc%dx%d Pc=read,d=1900\r\n".formatted(n % 50, number, n++));
                     String line = in.readLine();
                     if (line == null) {
-                        atTheDoor.incrementAndGet();
+                        closedBeforeAnswer.incrementAndGet();
                         break;
                     }
                     if (!line.startsWith("VA 2 ") || !"hi".equals(in.readLine())) {
-                        wrong.add(line);
+                        unexpected.add(line);
                     }
                     served.incrementAndGet();
                 }
             } catch (Exception e) {
-                atTheDoor.incrementAndGet();
+                closedBeforeAnswer.incrementAndGet();
             }
         }
     }
@@ -309,18 +313,18 @@
     }
 
     @Test
-    void aNewProcessThatEndsBeforeItsYesLeavesTheOldOneServing() throws Exception {
+    void newProcessThatEndsBeforeItIsReadyLeavesOldOneServing() throws Exception {
         int console = Rehearsal.freePort();
         start(console);
         Path good = config;
         config = Files.writeString(shared.resolve("bad.json"), "{\"listen\":\"nowhere\"}");
         long bad = platform.start(config, Rehearsal.freePort(), shared.resolve("log"));
-        assertEquals(78, platform.end(bad).get(20, TimeUnit.SECONDS));
+        assertEquals(78, platform.exitCode(bad).get(20, TimeUnit.SECONDS));
         config = good;
         long killed = platform.start(config, Rehearsal.freePort(), shared.resolve("log"));
         ProcessHandle.of(killed).orElseThrow().destroyForcibly();
-        assertEquals(-9, platform.end(killed).get(20, TimeUnit.SECONDS));
-        askMany(20);
-        assertEquals("OK serving", ConsoleCaller.call(console, "STATUS"));
+        assertEquals(-9, platform.exitCode(killed).get(20, TimeUnit.SECONDS));
+        assertServed(20);
+        assertEquals("OK serving", ConsoleClient.call(console, "STATUS"));
     }
 }
--- a/router/src/test/java/stagepier/app/OldListTest.java
+++ b/router/src/test/java/stagepier/app/StaleServerListTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real process, when what it knows of cache servers has grown old without its doing. */
+/** A router process whose list of cache servers has become outdated during a start or a suspension. */
 @Timeout(60)
-class OldListTest {
+class StaleServerListTest {
     @TempDir
     private Path folder;
 
@@ -25,7 +25,7 @@
     private final StandInCache other;
     private RouterProcess router;
 
-    OldListTest() throws Exception {
+    StaleServerListTest() throws Exception {
         agent = new StandInAgent();
         one = new StandInCache();
         other = new StandInCache();
@@ -40,45 +40,45 @@
     }
 
     private void start() throws Exception {
-        router = new RouterProcess(folder, agent, most("up"), first("up"));
+        router = new RouterProcess(folder, agent, others("up"), firstServer("up"));
     }
 
-    private String first(String lifecycle) {
+    private String firstServer(String lifecycle) {
         return StandInAgent.entry(1, one.port(), lifecycle);
     }
 
-    /** All others, which are processes of one name each at one port. */
-    private String most(String lifecycle) {
+    /** Returns the entries of all other servers, which share one port. */
+    private String others(String lifecycle) {
         return IntStream.range(2, 8)
                 .mapToObj(id -> StandInAgent.entry(id, other.port(), lifecycle))
                 .collect(Collectors.joining(","));
     }
 
-    /** What the agent has counts from the first moment of a process on, and the list of its configuration may be old. */
+    /** Prevents requests from being routed by an outdated known list before the agent was asked for the current one. */
     @Test
-    void aNewProcessServesNobodyByItsKnownListBeforeDiscoveryWasAsked() throws Exception {
-        agent.slow(60);
-        agent.tell(first("draining"), most("draining"));
+    void newProcessDoesNotRouteByKnownListBeforeAskingDiscovery() throws Exception {
+        agent.delayAnswers(60);
+        agent.publish(firstServer("draining"), others("draining"));
         start();
         String answer = router.ask("mg k1 v Oa Pc=read,d=1900");
         assertTrue(answer.startsWith("SERVER_ERROR busy"), answer);
         assertEquals(0, one.connections() + other.connections());
     }
 
-    /** Guards against a start that hangs on discovery. */
+    /** Prevents a start that waits for discovery without limit. */
     @Test
-    void aNewProcessServesByItsKnownListWhereDiscoveryIsSilent() throws Exception {
+    void newProcessRoutesByKnownListWhenDiscoveryIsSilent() throws Exception {
         agent.silent(true);
         start();
         assertTrue(router.ask("mg k1 v Oa Pc=read,d=1900").startsWith("VA 2 Oa"));
     }
 
     /**
-     * The agent tells of two drains while the process stands still: the first has been written to it, the second comes with
-     * the call after. Guards against requests that are decided before both are known.
+     * The agent reports two drains while the process is suspended: the first is already in the socket, the second
+     * arrives with the next call. Requests must not be routed before the router knows both.
      */
     @Test
-    void afterAStandStillNothingIsSentToThoseThatDrainedMeanwhile() throws Exception {
+    void suspendedProcessSendsNothingToServersThatDrainedMeanwhile() throws Exception {
         start();
         try (Socket client = router.connect()) {
             Rehearsal.write(client, "mg k1 v Oa Pc=read,d=1900\r\n");
@@ -87,19 +87,19 @@
             agent.awaitCalls(2);
             long before = one.answered() + other.answered();
             router.signal("STOP");
-            agent.tell(first("draining"));
-            StandInAgent.await(agent::nobodyWaits);
-            agent.tell(most("draining"));
+            agent.publish(firstServer("draining"));
+            StandInAgent.await(agent::hasNoPendingCall);
+            agent.publish(others("draining"));
             for (int i = 0; i < 40; i++) {
                 Rehearsal.write(client, "mg key%d v Ob%d Pc=read,d=1900\r\n".formatted(i, i));
             }
-            // Longer than the loop may take over a turn, for that is what a stand-still is.
+            // Longer than the loop delay from which the router assumes that it was suspended.
             TimeUnit.MILLISECONDS.sleep(1200);
             router.signal("CONT");
             for (int i = 0; i < 40; i++) {
                 assertTrue(answers.readLine().startsWith("SERVER_ERROR busy"));
             }
-            assertEquals(before, one.answered() + other.answered(), "sent to one that drains");
+            assertEquals(before, one.answered() + other.answered(), "request sent to a draining server");
         }
         assertTrue(router.ask("mn").equals("MN"));
     }
--- a/router/src/test/java/stagepier/app/StandInAgent.java
+++ b/router/src/test/java/stagepier/app/StandInAgent.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BooleanSupplier;
 
-/** Discovery's agent on loopback: answers calls as the protocol says, but nothing at all while it is held silent. */
+/** A stand-in for the discovery agent on loopback. Implements its protocol; can be made to stop answering. */
 final class StandInAgent implements Closeable {
     private static final long WAIT_MS = 5000;
     private static final String ENTRY = "{\"instanceId\":\"s-0000000%d\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"a\","
@@ -19,20 +19,20 @@
     private final ServerSocket listening = Rehearsal.listen();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final List<String> calls = new CopyOnWriteArrayList<>();
-    /** What each generation from the second on told. */
-    private final List<String> told = new ArrayList<>();
+    /** The entries of each generation from the second on. */
+    private final List<String> published = new ArrayList<>();
 
-    private boolean whole;
+    private boolean completeListPending;
     private boolean silent;
-    private int slowMs;
-    private int waiting;
+    private int delayMs;
+    private int pendingCalls;
 
     StandInAgent() throws IOException {
         Rehearsal.daemon(() -> {
             while (true) {
-                Socket one = listening.accept();
-                connections.add(one);
-                Rehearsal.daemon(() -> serve(one));
+                Socket connection = listening.accept();
+                connections.add(connection);
+                Rehearsal.daemon(() -> serve(connection));
             }
         });
     }
@@ -45,7 +45,7 @@
         return ENTRY.formatted(id, port, lifecycle);
     }
 
-    /** What every router knows at its start: generation 1. */
+    /** Returns the known list with which routers start: generation 1. */
     static String known(String... entries) {
         return message(1, true, List.of(entries));
     }
@@ -55,16 +55,16 @@
                 .formatted(generation, reset, String.join(",", entries));
     }
 
-    /** Something has changed. */
-    synchronized void tell(String... entries) {
-        told.add(String.join(",", entries));
+    /** Publishes changed entries as a new generation. */
+    synchronized void publish(String... entries) {
+        published.add(String.join(",", entries));
         notifyAll();
     }
 
-    /** The next answer holds the whole list, which is this. */
-    synchronized void tellAll(String... entries) {
-        whole = true;
-        tell(entries);
+    /** Publishes a complete list, which the next answer contains. */
+    synchronized void publishAll(String... entries) {
+        completeListPending = true;
+        publish(entries);
     }
 
     synchronized void silent(boolean on) {
@@ -72,17 +72,17 @@
         notifyAll();
     }
 
-    /** Each answer comes so much later. */
-    synchronized void slow(int ms) {
-        slowMs = ms;
+    /** Delays each answer by the given time. */
+    synchronized void delayAnswers(int ms) {
+        delayMs = ms;
     }
 
-    synchronized boolean nobodyWaits() {
-        return waiting == 0;
+    synchronized boolean hasNoPendingCall() {
+        return pendingCalls == 0;
     }
 
-    /** Until the router has called again after the last change, and so knows of it. */
-    void awaitHeard() throws InterruptedException {
+    /** Waits until the router has called again after the last change, and has therefore received it. */
+    void awaitReceived() throws InterruptedException {
         await(() -> calls.stream().anyMatch(c -> c.contains("from=" + generation() + "&")));
     }
 
@@ -93,68 +93,72 @@
     static void await(BooleanSupplier condition) throws InterruptedException {
         for (long end = System.nanoTime() + WAIT_MS * 1_000_000; !condition.getAsBoolean(); Thread.sleep(2)) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("never came about");
+                throw new AssertionError("condition not met within " + WAIT_MS + " ms");
             }
         }
     }
 
     private synchronized int generation() {
-        return 1 + told.size();
+        return 1 + published.size();
     }
 
-    /** First lines of all calls. */
+    /** Returns the first lines of all calls. */
     List<String> calls() {
         return calls;
     }
 
-    long open() {
+    long openConnections() {
         return connections.stream().filter(s -> !s.isClosed()).count();
     }
 
-    private void serve(Socket one) throws IOException {
-        try (one) {
-            one.setTcpNoDelay(true);
-            BufferedReader in = Rehearsal.reader(one);
+    private void serve(Socket connection) throws IOException {
+        try (connection) {
+            connection.setTcpNoDelay(true);
+            BufferedReader in = Rehearsal.reader(connection);
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("GET ")) {
                     calls.add(line);
                 } else if (line.isEmpty()) {
-                    String answer = answer(calls.get(calls.size() - 1), one);
-                    Rehearsal.write(one, "HTTP/1.1 200 OK\r\nContent-Length: " + answer.length() + "\r\n\r\n" + answer);
+                    String answer = answer(calls.get(calls.size() - 1), connection);
+                    Rehearsal.write(
+                            connection, "HTTP/1.1 200 OK\r\nContent-Length: " + answer.length() + "\r\n\r\n" + answer);
                 }
             }
         }
     }
 
-    private synchronized String answer(String call, Socket to) throws IOException {
-        int from = Integer.parseInt(call.replaceAll(".*from=(\\d+).*", "$1"));
-        long until = System.nanoTime() + Long.parseLong(call.replaceAll(".*hold_ms=(\\d+).*", "$1")) * 1_000_000;
-        waiting++;
+    private synchronized String answer(String request, Socket to) throws IOException {
+        int from = Integer.parseInt(request.replaceAll(".*from=(\\d+).*", "$1"));
+        long until = System.nanoTime() + Long.parseLong(request.replaceAll(".*hold_ms=(\\d+).*", "$1")) * 1_000_000;
+        pendingCalls++;
         try {
             for (long left = until - System.nanoTime();
                     silent || left > 0 && from >= generation();
                     left = until - System.nanoTime()) {
                 wait(silent ? 0 : 1 + left / 1_000_000);
             }
-            if (slowMs > 0) {
-                wait(slowMs);
+            if (delayMs > 0) {
+                wait(delayMs);
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         } finally {
-            waiting--;
+            pendingCalls--;
         }
-        boolean all = whole && from < generation();
-        whole &= !all;
+        boolean complete = completeListPending && from < generation();
+        completeListPending &= !complete;
         return message(
-                generation(), all, told.subList(all ? told.size() - 1 : Math.min(from - 1, told.size()), told.size()));
+                generation(),
+                complete,
+                published.subList(
+                        complete ? published.size() - 1 : Math.min(from - 1, published.size()), published.size()));
     }
 
     @Override
     public void close() throws IOException {
         listening.close();
-        for (Socket one : connections) {
-            one.close();
+        for (Socket connection : connections) {
+            connection.close();
         }
     }
 }
--- a/router/src/test/java/stagepier/app/StandInCache.java
+++ b/router/src/test/java/stagepier/app/StandInCache.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A cache server that has all, on loopback. A connection of it can be made to fall silent. */
+/** A stand-in cache server on loopback that has a value for every key. A connection can be made to stop answering. */
 final class StandInCache implements Closeable {
     /** One connection. */
     private static final class Connection {
@@ -23,7 +23,7 @@
 
     private final ServerSocket listening;
     private boolean held;
-    private volatile int slowMs;
+    private volatile int delayMs;
     private int waiting;
     private final List<Connection> connections = new CopyOnWriteArrayList<>();
     private final List<Received> commands = new CopyOnWriteArrayList<>();
@@ -48,14 +48,14 @@
     }
 
     /**
-     * A command that came.
+     * A received command.
      *
-     * @param line    its first line
-     * @param atNanos when, as {@link System#nanoTime} tells it
+     * @param line    the first line
+     * @param atNanos time of receipt by {@link System#nanoTime}
      */
     record Received(String line, long atNanos) {}
 
-    /** All commands that came, in order. */
+    /** Returns all received commands in order. */
     List<Received> commands() {
         return commands;
     }
@@ -64,7 +64,7 @@
         return connections.size();
     }
 
-    /** The one that has answered most takes requests from now on and answers none. */
+    /** Makes the connection with the most answers stop answering, while it still reads requests. */
     void silenceBusiest() {
         connections.stream()
                 .max(java.util.Comparator.comparingLong(c -> c.answered))
@@ -72,18 +72,18 @@
                 .silent = true;
     }
 
-    /** Each answer takes so long. */
-    void slow(int ms) {
-        slowMs = ms;
+    /** Delays each answer by the given time. */
+    void delayAnswers(int ms) {
+        delayMs = ms;
     }
 
-    /** Answers wait until it is told otherwise. */
+    /** Holds back all answers while on. */
     synchronized void hold(boolean on) {
         held = on;
         notifyAll();
     }
 
-    private synchronized void pass() {
+    private synchronized void awaitRelease() {
         waiting++;
         while (held) {
             try {
@@ -103,7 +103,7 @@
         return waiting;
     }
 
-    /** Until this one or the other has a request that waits for its answer. */
+    /** Waits until this or the other stand-in holds back an answer. */
     void awaitHeld(StandInCache other) throws InterruptedException {
         while (waiting() + other.waiting() == 0) {
             Thread.sleep(5);
@@ -121,9 +121,9 @@
                 in.readLine();
             }
             if (!c.silent) {
-                pass();
-                if (slowMs > 0) {
-                    pause(slowMs);
+                awaitRelease();
+                if (delayMs > 0) {
+                    pause(delayMs);
                 }
                 Rehearsal.write(c.socket, write ? "HD" + id + " cab\r\n" : "VA 2" + id + " h1\r\nhi\r\n");
                 c.answered++;
--- a/router/src/test/java/stagepier/app/SyscallFaults.java
+++ b/router/src/test/java/stagepier/app/SyscallFaults.java
@@ -12,30 +12,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * System calls of a router process that fail when a test says so: a library that the process preloads, built here from
- * {@code src/test/native}, and the file that it shares with the test.
+ * Injects failures into system calls of a router process: a library that the process preloads, compiled here from
+ * {@code src/test/native}, and a memory-mapped file that it shares with the test.
  */
 final class SyscallFaults {
-    /** Kinds of calls, in the order of the library's own. */
+    /** Kinds of system calls, in the order of {@code enum kind} in the library. */
     enum Call {
         ACCEPT,
         SOCKET,
         CONNECT,
         /** {@code epoll_wait}. */
         WAIT,
-        /** On IPv4 sockets only, as the next one. */
+        /** On IPv4 sockets only, as is {@link #WRITE}. */
         READ,
         WRITE,
-        /** Of the router's configuration file only. */
+        /** Opens of the router's configuration file only. */
         OPEN,
         EPOLL_CREATE,
-        /** Steps the wall clock; never fails. */
+        /** Reads of the wall clock; they are shifted and never fail. */
         CLOCK
     }
 
-    /** How a call fails, with the numbers of Linux. */
+    /** The way a call fails, with the error numbers of Linux. */
     enum Failure {
-        /** Only one byte is read or written. */
+        /** The call succeeds, but reads or writes only one byte. */
         SHORT(0),
         EINTR(4),
         EIO(5),
@@ -54,10 +54,10 @@
         }
     }
 
-    /** A kind of call and how it fails. */
+    /** A kind of system call and the way it fails. */
     record Fault(Call call, Failure failure) {}
 
-    /** Faults after which no connection is broken. */
+    /** Faults that break no connection. */
     static final List<Fault> HARMLESS = List.of(
             new Fault(Call.ACCEPT, Failure.ENFILE),
             new Fault(Call.ACCEPT, Failure.ECONNABORTED),
@@ -75,9 +75,9 @@
     private static final int REMAINING = 0;
     private static final int ERROR = 4;
     private static final int MADE = 8;
-    private static final int SHIFT = 12;
-    private static final int BYTES_A_CALL = 16;
-    private static final int COMPILER_MOST_S = 30;
+    private static final int CLOCK_SHIFT = 12;
+    private static final int BYTES_PER_CALL = 16;
+    private static final int COMPILER_TIMEOUT_S = 30;
 
     private final MappedByteBuffer shared;
     private final Map<String, String> environment;
@@ -87,7 +87,7 @@
         Path library = folder.resolve("syscall_faults.so");
         compile(library, folder.resolve("compiler.log"));
         Path file = folder.resolve("faults");
-        int bytes = Call.values().length * BYTES_A_CALL;
+        int bytes = Call.values().length * BYTES_PER_CALL;
         Files.write(file, new byte[bytes]);
         try (RandomAccessFile opened = new RandomAccessFile(file.toFile(), "rw")) {
             shared = opened.getChannel().map(FileChannel.MapMode.READ_WRITE, 0, bytes);
@@ -115,33 +115,33 @@
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile())
                 .start();
-        if (!compiler.waitFor(COMPILER_MOST_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-            throw new IOException("the library of faults cannot be built: " + Files.readString(log));
+        if (!compiler.waitFor(COMPILER_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+            throw new IOException("cannot compile " + SOURCE + ": " + Files.readString(log));
         }
     }
 
-    /** What a router process needs in its environment. */
+    /** Returns the environment variables for the router process. */
     Map<String, String> environment() {
         return environment;
     }
 
-    /** The next calls of a kind fail, so many times. */
+    /** Makes the next calls of a kind fail, the given number of times. */
     void next(Call call, Failure failure, int times) {
-        shared.putInt(call.ordinal() * BYTES_A_CALL + ERROR, failure.number);
-        shared.putInt(call.ordinal() * BYTES_A_CALL + REMAINING, times);
+        shared.putInt(call.ordinal() * BYTES_PER_CALL + ERROR, failure.number);
+        shared.putInt(call.ordinal() * BYTES_PER_CALL + REMAINING, times);
     }
 
-    /** Calls of that kind that have failed so far. */
+    /** Returns the number of calls of a kind that have failed so far. */
     int made(Call call) {
-        return shared.getInt(call.ordinal() * BYTES_A_CALL + MADE);
+        return shared.getInt(call.ordinal() * BYTES_PER_CALL + MADE);
     }
 
     void awaitMade(Call call, int times) throws InterruptedException {
         StandInAgent.await(() -> made(call) >= times);
     }
 
-    /** Steps the wall clock of the process by so many seconds from what it truly is. */
+    /** Shifts the wall clock of the process by a number of seconds from the true time. */
     void stepWallClock(int seconds) {
-        shared.putInt(Call.CLOCK.ordinal() * BYTES_A_CALL + SHIFT, seconds);
+        shared.putInt(Call.CLOCK.ordinal() * BYTES_PER_CALL + CLOCK_SHIFT, seconds);
     }
 }
--- a/router/src/test/java/stagepier/app/SystemCallFaultSoakTest.java
+++ b/router/src/test/java/stagepier/app/SystemCallFaultSoakTest.java
@@ -25,27 +25,30 @@
 import stagepier.app.SyscallFaults.Fault;
 
 /**
- * A real process under clients that stay, leave and come, while faults of system calls are drawn by a seed. Two seeds in a build; more by
- * {@code -Dstagepier.soak.seeds=N}, from {@code -Dstagepier.soak.first=N} on.
+ * Soak test of a router process with clients that connect, stay and disconnect, while system calls fail as drawn from a
+ * seed. Runs two seeds in a build; {@code -Dstagepier.soak.seeds=N} sets their number and
+ * {@code -Dstagepier.soak.first=N} the first one.
  */
 @Timeout(120)
 class SystemCallFaultSoakTest {
     private static final int ROUNDS = 60;
     private static final int CLIENTS = 8;
-    private static final int PIPELINED_MOST = 4;
-    private static final int FAULTS_MOST = 12;
+    private static final int MAX_PIPELINED = 4;
+    private static final int MAX_FAULTS = 12;
     private static final int DEADLINE_MS = 1900;
-    /** An answer that comes later than this after its time is a lost one. */
-    private static final int LATE_MOST_MS = 500;
-    /** An attempt begins no later than 100 ms after its client left; the rest is for the threads of this test. */
-    private static final int BEGINS_AFTER_LEAVING_MOST_MS = 400;
+    /** An answer that arrives later than this after its deadline counts as lost. */
+    private static final int MAX_LATE_MS = 500;
+    /**
+     * Executions start at most 100 ms after the client disconnected; the rest allows for scheduling delays of the test.
+     */
+    private static final int MAX_START_AFTER_DISCONNECT_MS = 400;
 
     @TempDir
     private Path folder;
 
     private final Map<String, String> sent = new ConcurrentHashMap<>();
-    private final Map<String, Long> leftAt = new ConcurrentHashMap<>();
-    private final List<String> broken = new CopyOnWriteArrayList<>();
+    private final Map<String, Long> disconnectedAt = new ConcurrentHashMap<>();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
     private RouterProcess router;
 
     static LongStream seeds() {
@@ -55,7 +58,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void everyRequestIsAnsweredOnceAndNothingIsForwardedThatNobodyWants(long seed) throws Exception {
+    void requestsAreAnsweredOnceAndNotForwardedAfterDisconnect(long seed) throws Exception {
         SyscallFaults faults = new SyscallFaults(folder);
         Random random = new Random(seed);
         try (StandInAgent agent = new StandInAgent();
@@ -68,32 +71,32 @@
                     StandInAgent.entry(1, one.port(), "up"),
                     StandInAgent.entry(2, other.port(), "up"));
             assertEquals("MN", router.ask("mn"));
-            play(faults, random);
+            runRounds(faults, random);
             assertEquals("MN", router.ask("mn"));
             router.signal("TERM");
             assertEquals(0, router.exitCode(), router.log());
-            assertEquals(List.of(), broken);
+            assertEquals(List.of(), violations);
             assertForwardedInOrder(one);
             assertForwardedInOrder(other);
-            assertTrue(one.answered() + other.answered() > ROUNDS, "hardly anything was served");
+            assertTrue(one.answered() + other.answered() > ROUNDS, "too few requests were served");
             assertEquals(
                     List.of(),
                     router.log()
                             .lines()
-                            .filter(SystemCallFaultSoakTest::isFault)
+                            .filter(SystemCallFaultSoakTest::isForbidden)
                             .toList());
         } finally {
             router.close();
         }
     }
 
-    private static boolean isFault(String line) {
+    private static boolean isForbidden(String line) {
         return line.contains(" ERROR ")
                 || line.contains("globalEventExecutor")
                 || line.contains("had no answer in time");
     }
 
-    private void play(SyscallFaults faults, Random random) throws Exception {
+    private void runRounds(SyscallFaults faults, Random random) throws Exception {
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
         List<Client> all = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -102,7 +105,7 @@
         try {
             for (int round = 0; round < ROUNDS; round++) {
                 Fault fault = SyscallFaults.HARMLESS.get(random.nextInt(SyscallFaults.HARMLESS.size()));
-                faults.next(fault.call(), fault.failure(), 1 + random.nextInt(FAULTS_MOST));
+                faults.next(fault.call(), fault.failure(), 1 + random.nextInt(MAX_FAULTS));
                 List<Future<?>> done = new ArrayList<>();
                 for (Client client : all) {
                     done.add(clients.submit(() -> client.ask(fault)));
@@ -119,7 +122,7 @@
         }
     }
 
-    /** One client: keeps its connection for some rounds, and leaves some requests behind. */
+    /** A client that keeps its connection for some rounds and sometimes disconnects with open requests. */
     private final class Client {
         private final String name;
         private final Random random;
@@ -140,22 +143,22 @@
             }
             List<String> ids = new ArrayList<>();
             StringBuilder commands = new StringBuilder();
-            for (int n = 1 + random.nextInt(PIPELINED_MOST); n > 0; n--) {
+            for (int n = 1 + random.nextInt(MAX_PIPELINED); n > 0; n--) {
                 ids.add(name + "x" + asked++);
                 commands.append(command(ids.get(ids.size() - 1)));
             }
             long from = System.nanoTime();
             Rehearsal.write(socket, commands.toString());
             if (random.nextInt(4) == 0) {
-                leave(ids);
+                disconnect(ids);
                 return null;
             }
             for (String id : ids) {
                 read(id, fault);
             }
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
-            if (took > DEADLINE_MS + LATE_MOST_MS) {
-                broken.add(ids + " took " + took + " ms under " + fault);
+            if (took > DEADLINE_MS + MAX_LATE_MS) {
+                violations.add(ids + " took " + took + " ms under " + fault);
             }
             return null;
         }
@@ -168,10 +171,10 @@
             return head + attributes.formatted(DEADLINE_MS, id);
         }
 
-        private void leave(List<String> ids) throws IOException {
+        private void disconnect(List<String> ids) throws IOException {
             socket.close();
             socket = null;
-            ids.forEach(id -> leftAt.put(id, System.nanoTime()));
+            ids.forEach(id -> disconnectedAt.put(id, System.nanoTime()));
         }
 
         private void read(String id, Fault fault) throws IOException {
@@ -180,7 +183,7 @@
             boolean receipt = ("HD O" + id + " cab").equals(line);
             boolean refused = line != null && line.startsWith("SERVER_ERROR ");
             if (!value && !receipt && !refused) {
-                broken.add(id + " got " + line + " under " + fault);
+                violations.add(id + " got " + line + " under " + fault);
             }
         }
 
@@ -194,13 +197,13 @@
     private void assertForwardedInOrder(StandInCache cache) {
         for (StandInCache.Received command : cache.commands()) {
             String id = command.line().replaceAll(".* O(\\S+) P.*", "$1");
-            assertTrue(command.line().startsWith(sent.getOrDefault(id, "nobody") + " P"), command.line());
-            Long left = leftAt.get(id);
-            if (left != null) {
-                long after = TimeUnit.NANOSECONDS.toMillis(command.atNanos() - left);
+            assertTrue(command.line().startsWith(sent.getOrDefault(id, "unknown") + " P"), command.line());
+            Long disconnected = disconnectedAt.get(id);
+            if (disconnected != null) {
+                long after = TimeUnit.NANOSECONDS.toMillis(command.atNanos() - disconnected);
                 assertTrue(
-                        after <= BEGINS_AFTER_LEAVING_MOST_MS,
-                        command.line() + " came " + after + " ms after its client left");
+                        after <= MAX_START_AFTER_DISCONNECT_MS,
+                        command.line() + " came " + after + " ms after its client disconnected");
             }
         }
     }
--- a/router/src/test/java/stagepier/app/SystemCallFaultTest.java
+++ b/router/src/test/java/stagepier/app/SystemCallFaultTest.java
@@ -22,17 +22,17 @@
 import stagepier.app.SyscallFaults.Call;
 import stagepier.app.SyscallFaults.Failure;
 
-/** The real process while system calls fail for a moment. */
+/** Runs a router process while some of its system calls fail temporarily. */
 @Timeout(60)
 class SystemCallFaultTest {
     private static final String READY = "MN";
-    /** Milliseconds that clients wait, nearly all of what the class may take. */
+    /** Time-out of the clients in milliseconds, slightly below the deadline of the class. */
     private static final int WAIT_MS = 1900;
-    /** Milliseconds by which a deadline that is passed on may be longer than what is left to the client. */
+    /** Milliseconds by which a forwarded deadline may exceed the time that is left to the client. */
     private static final int SLACK_MS = 150;
 
     private static final String EVENT_LOOP = "[multiThreadIoEventLoopGroup-2-1] ";
-    /** More failures than any test lasts. */
+    /** More failures than occur during any test. */
     private static final int LASTING = 1_000_000;
 
     @TempDir
@@ -75,9 +75,9 @@
     }
 
     @Test
-    void aRequestThatWaitedWhileAcceptFailedIsNotForwardedAfterItsClientHasLeft() throws Exception {
+    void requestOfDisconnectedClientIsNotForwardedAfterAcceptFailed() throws Exception {
         start();
-        // A link that is up, so that a request is sent as soon as it is read.
+        // Opens the server link, so that a request is sent as soon as it is read.
         assertServed("first");
         faults.next(Call.ACCEPT, Failure.ENFILE, LASTING);
         try (Socket client = router.connect()) {
@@ -85,22 +85,22 @@
             faults.awaitMade(Call.ACCEPT, 1);
         }
         faults.next(Call.ACCEPT, Failure.ENFILE, 0);
-        // Accepted behind the one that has gone, and answered by the same cache server.
+        // Accepted after the connection that was closed, and answered by the same cache server.
         assertServed("last");
-        assertEquals(2, cache.answered(), "forwarded after its client had left");
+        assertEquals(2, cache.answered(), "request forwarded after its client had disconnected");
     }
 
     @Test
-    void aClientIsAnsweredInItsTimeThoughAcceptFailsForAMoment() throws Exception {
+    void clientIsAnsweredInTimeWhenAcceptFailsTemporarily() throws Exception {
         start();
         faults.next(Call.ACCEPT, Failure.ENFILE, 3);
         long from = System.nanoTime();
         assertServed("a");
-        assertTrue(millisSince(from) < WAIT_MS, "too late");
+        assertTrue(millisSince(from) < WAIT_MS, "answered after the client's time-out");
     }
 
     @Test
-    void aDeadlineIsShorterByTheTimeThatItsRequestWaitedWhileAcceptFailed() throws Exception {
+    void forwardedDeadlineExcludesTimeSpentWaitingForAccept() throws Exception {
         start();
         faults.next(Call.ACCEPT, Failure.ENFILE, LASTING);
         try (Socket client = router.connect()) {
@@ -111,24 +111,24 @@
             faults.next(Call.ACCEPT, Failure.ENFILE, 0);
             assertEquals("VA 2 Olate", Rehearsal.reader(client).readLine());
             String forwarded = cache.commands().get(0).line();
-            long told = Long.parseLong(forwarded.replaceAll(".*[,P]d=(\\d+).*", "$1"));
-            assertTrue(told <= WAIT_MS - waited + SLACK_MS, forwarded);
+            long forwardedDeadline = Long.parseLong(forwarded.replaceAll(".*[,P]d=(\\d+).*", "$1"));
+            assertTrue(forwardedDeadline <= WAIT_MS - waited + SLACK_MS, forwarded);
         }
     }
 
-    /** Netty tells of a socket that could not be opened on a thread of its own. */
+    /** A Netty bootstrap that opens the socket itself reports the failure on a thread of its own. */
     @Test
-    void aSocketThatCannotBeOpenedIsHandledOnTheEventLoop() throws Exception {
+    void failureToOpenSocketIsHandledOnEventLoop() throws Exception {
         start();
         faults.next(Call.SOCKET, Failure.ENFILE, 1);
         router.ask(read("a"));
         faults.awaitMade(Call.SOCKET, 1);
         router.awaitLog("no connection to a cache server");
-        List<String> elsewhere = router.log()
+        List<String> loggedOnOtherThreads = router.log()
                 .lines()
                 .filter(line -> line.contains("no connection to a cache server") && !line.startsWith(EVENT_LOOP))
                 .toList();
-        assertEquals(List.of(), elsewhere);
+        assertEquals(List.of(), loggedOnOtherThreads);
     }
 
     @ParameterizedTest
@@ -139,7 +139,7 @@
         "CONNECT, ENETUNREACH",
         "CONNECT, ENOBUFS"
     })
-    void aRequestIsServedThoughThisMachineCannotConnectForAMoment(Call call, Failure failure) throws Exception {
+    void requestIsServedWhenConnectFailsTemporarily(Call call, Failure failure) throws Exception {
         start();
         faults.next(call, failure, 5);
         assertServed("a");
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void discoveryIsHeardAfterSocketsCouldNotBeOpenedDuringAReload() throws Exception {
+    void discoveryIsWatchedAfterSocketsFailedDuringReload() throws Exception {
         start();
         agent.awaitCalls(1);
         try (StandInAgent other = new StandInAgent();
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aReloadIsNotLostThoughItsFileCannotBeReadForAMoment() throws Exception {
+    void reloadSucceedsWhenFileIsTemporarilyUnreadable() throws Exception {
         start();
         try (StandInAgent other = new StandInAgent()) {
             router.configure(other);
@@ -177,7 +177,7 @@
 
     @ParameterizedTest
     @CsvSource({"SOCKET, ENFILE", "EPOLL_CREATE, ENFILE", "OPEN, EIO"})
-    void aStartSurvivesCallsThatFailForAMoment(Call call, Failure failure) throws Exception {
+    void startSurvivesTemporarySystemCallFailures(Call call, Failure failure) throws Exception {
         faults.next(call, failure, 20);
         start();
         assertEquals(20, faults.made(call));
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void anInterruptedReadDoesNotEndAConnection() throws Exception {
+    void interruptedReadDoesNotCloseConnection() throws Exception {
         start();
         try (Socket client = router.connect()) {
             BufferedReader in = Rehearsal.reader(client);
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void theLogOfRequestsFollowsOneByItsIdThroughAFailure() throws Exception {
+    void requestLogTracesRequestByIdThroughFailure() throws Exception {
         Map<String, String> environment = new HashMap<>(faults.environment());
         environment.put("JAVA_TOOL_OPTIONS", "-Dorg.slf4j.simpleLogger.log.stagepier.requests=debug");
         router = new RouterProcess(folder, agent, environment, StandInAgent.entry(1, cache.port(), "up"));
@@ -216,10 +216,10 @@
         assertEquals(List.of("taken", "sent", "ended", "answered"), events);
     }
 
-    /** Its end is that of a client or server that is unreachable, and nothing else's. */
+    /** A failed read is handled as the end of that connection and does not affect other connections. */
     @ParameterizedTest
     @EnumSource(names = {"ETIMEDOUT", "EHOSTUNREACH"})
-    void aBrokenConnectionIsTheEndOfThatConnectionOnly(Failure failure) throws Exception {
+    void failedReadClosesOnlyThatConnection(Failure failure) throws Exception {
         start();
         try (Socket broken = router.connect()) {
             Rehearsal.write(broken, "mn\r\n");
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void readsAndWritesOfSingleBytesLoseNothing() throws Exception {
+    void singleByteReadsAndWritesLoseNothing() throws Exception {
         start();
         faults.next(Call.READ, Failure.SHORT, 1000);
         faults.next(Call.WRITE, Failure.SHORT, 1000);
--- a/router/src/test/java/stagepier/app/TerminationTest.java
+++ b/router/src/test/java/stagepier/app/TerminationTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGTERM, and clients that are in the middle of something: the process ends in time with 0, and no answer is lost. */
+/** SIGTERM while clients are active: the process exits in time with status 0, and no answer is lost. */
 @Timeout(60)
 class TerminationTest {
-    /** SIGKILL may come so long after SIGTERM: the longest deadline and 0.7 s. */
-    private static final long ENDS_WITHIN_MS = 2700;
+    /** Earliest time of SIGKILL after SIGTERM: the longest deadline plus 0.7 s. */
+    private static final long EXIT_LIMIT_MS = 2700;
 
     @TempDir
     private Path folder;
@@ -47,13 +47,13 @@
         return "mg k" + id + " v O" + id + " Pc=read,t=x,d=1900\r\n";
     }
 
-    private void endsInTime(long from) throws InterruptedException {
+    private void assertExitsInTime(long from) throws InterruptedException {
         assertEquals(0, router.exitCode());
-        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(ENDS_WITHIN_MS), "held up");
+        assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(EXIT_LIMIT_MS), "exit was delayed");
     }
 
     @Test
-    void aSecondSigtermChangesNothing() throws Exception {
+    void secondSigtermHasNoEffect() throws Exception {
         try (Socket client = router.connect()) {
             BufferedReader answers = Rehearsal.reader(client);
             cache.hold(true);
@@ -62,16 +62,16 @@
             long from = System.nanoTime();
             router.signal("TERM");
             router.signal("TERM");
-            assertEquals("MN", router.ask("mn"), "still serving");
+            assertEquals("MN", router.ask("mn"), "not serving after SIGTERM");
             cache.hold(false);
             assertEquals(List.of("VA 2 Oa", "hi"), answers.lines().toList());
-            endsInTime(from);
+            assertExitsInTime(from);
         }
     }
 
-    /** None of these closes: the end of each link is bounded by the router alone. */
+    /** None of these clients closes its connection, so the router alone bounds the lifetime of each link. */
     @Test
-    void clientsThatRestThatSentHalfAndThatPipelineHoldNothingUp() throws Exception {
+    void idlePartialAndPipeliningClientsDoNotDelayExit() throws Exception {
         List<Socket> clients = new ArrayList<>();
         List<BufferedReader> answers = new ArrayList<>();
         try {
@@ -94,16 +94,16 @@
                                         : read("p" + i) + read("q" + i) + read("r" + i));
             }
             for (int i = 0; i < 12; i++) {
-                List<String> said = answers.get(i).lines().toList();
+                List<String> received = answers.get(i).lines().toList();
                 assertEquals(
                         i % 3 == 0
                                 ? List.of()
                                 : i % 3 == 1
                                         ? List.of("CLIENT_ERROR command not finished in time")
                                         : List.of("VA 2 Op" + i, "hi", "VA 2 Oq" + i, "hi", "VA 2 Or" + i, "hi"),
-                        said);
+                        received);
             }
-            endsInTime(from);
+            assertExitsInTime(from);
         } finally {
             for (Socket client : clients) {
                 client.close();
--- a/router/src/test/java/stagepier/app/TestPorts.java
+++ b/router/src/test/java/stagepier/app/TestPorts.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports for processes that bind them seconds later: each is given once in this JVM, and all lie below those that the system gives to
- * connections, which could take one meanwhile.
+ * Allocates ports for processes that bind them seconds later. Each port is returned once per JVM, and all are below the
+ * ephemeral range, from which an outgoing connection could take a port in the meantime.
  */
 final class TestPorts {
     private static final int LOWEST = 22_000;
@@ -17,7 +17,7 @@
 
     private TestPorts() {}
 
-    /** One that is free now. */
+    /** Returns a port that is free at the time of the call. */
     static int next() throws IOException {
         for (int tries = 0; tries < COUNT; tries++) {
             int port = LOWEST + NEXT.getAndIncrement() % COUNT;
@@ -27,6 +27,6 @@
                 continue;
             }
         }
-        throw new IOException("no port is free");
+        throw new IOException("no free port among " + COUNT + " from " + LOWEST);
     }
 }
--- a/router/src/test/java/stagepier/app/TopologyGateTest.java
+++ b/router/src/test/java/stagepier/app/TopologyGateTest.java
@@ -14,7 +14,7 @@
 import stagepier.freeze.Change;
 import stagepier.settings.SettingsParser;
 
-/** Guards against a freeze that lets a change of topology through, or that keeps back what a rule needs. */
+/** A freeze must hold voluntary changes of the topology and admit the changes that a rule requires. */
 class TopologyGateTest {
     private final HostGroup group = new HostGroup(
             new SettingsParser.Names(List.of("c"), List.of(), List.of("a", "b"), List.of("m")), new Clock());
@@ -43,18 +43,18 @@
                 },
                 List.of("a", "b"),
                 group::admit));
-        tell(1, true, entry("s1", "up", 1, "a", 1, 0), entry("s2", "up", 2, "a", 1, 0));
-        assertEquals(List.of(), asked, "the first list is what a process begins with");
+        applyList(1, true, entry("s1", "up", 1, "a", 1, 0), entry("s2", "up", 2, "a", 1, 0));
+        assertEquals(List.of(), asked, "the first list is applied without the calendar");
         frozen = true;
     }
 
-    private List<String> tell(long generation, boolean reset, String... entries) {
+    private List<String> applyList(long generation, boolean reset, String... entries) {
         HostGroup.Change change = group.apply(JsonParser.parseString("{\"generation\":" + generation + ",\"reset\":"
                 + reset + ",\"instances\":[" + String.join(",", entries) + "]}"));
-        return told(change);
+        return describe(change);
     }
 
-    private static List<String> told(HostGroup.Change change) {
+    private static List<String> describe(HostGroup.Change change) {
         return change.hosts().stream()
                 .map(h -> h.name() + " " + h.member().state() + " "
                         + (h.address() == null ? "-" : h.address().getPort()) + " "
@@ -71,65 +71,65 @@
     }
 
     @Test
-    void whatIsVoluntaryIsHeldAndTheOldEntryGoesOn() {
-        assertEquals(List.of(), tell(2, false, entry("s3", "up", 3, "b", 1, 0)));
-        assertEquals(List.of("s1 READY 1 0 1.0 0.0"), tell(3, false, entry("s1", "up", 1, "a", 2, 0)));
-        assertEquals(List.of("s1 READY 1 0 1.0 0.0"), tell(4, false, entry("s1", "up", 1, "b", 1, 0)));
+    void voluntaryChangesAreHeldAndOldEntryStaysInUse() {
+        assertEquals(List.of(), applyList(2, false, entry("s3", "up", 3, "b", 1, 0)));
+        assertEquals(List.of("s1 READY 1 0 1.0 0.0"), applyList(3, false, entry("s1", "up", 1, "a", 2, 0)));
+        assertEquals(List.of("s1 READY 1 0 1.0 0.0"), applyList(4, false, entry("s1", "up", 1, "b", 1, 0)));
         assertEquals(
                 List.of("s1 READY 1 0 1.0 7.0"),
-                tell(5, false, entry("s1", "up", 9, "a", 1, 7000)),
-                "its new start counts");
+                applyList(5, false, entry("s1", "up", 9, "a", 1, 7000)),
+                "the new start time is applied");
         assertEquals(List.of("ADD_SERVER s3 b", "WEIGHT s1 a", "ZONE s1 b", "ADDRESS s1 a"), asked);
-        List<String> whole = tell(
+        List<String> applied = applyList(
                 6,
                 true,
                 entry("s1", "up", 9, "a", 1, 7000),
                 entry("s2", "up", 2, "a", 1, 0),
                 entry("s3", "up", 3, "b", 1, 0));
-        assertEquals(List.of("s1 READY 1 0 1.0 7.0", "s2 READY 2 0 1.0 0.0"), whole);
+        assertEquals(List.of("s1 READY 1 0 1.0 7.0", "s2 READY 2 0 1.0 0.0"), applied);
         assertEquals(List.of("s1", "s3"), held.keySet().stream().sorted().toList());
     }
 
-    /** Guards against keys sent to a process of another name: the old address is another server's by now. */
+    /** Prevents requests to a process of another server: the old address now belongs to that server. */
     @Test
-    void whoLostItsAddressToAnotherDrainsUntilItMayMove() {
+    void serverWhoseAddressWasReassignedDrainsUntilItMayMove() {
         assertEquals(
                 List.of("s1 DRAINING 1 0 1.0 0.0"),
-                tell(2, false, entry("s1", "up", 9, "a", 1, 0), entry("s3", "up", 1, "a", 1, 0)));
+                applyList(2, false, entry("s1", "up", 9, "a", 1, 0), entry("s3", "up", 1, "a", 1, 0)));
         assertEquals(List.of("s1", "s3"), held.keySet().stream().sorted().toList());
     }
 
     @Test
-    void whatARuleNeedsAlwaysPassesAndOvertakesWhatIsHeld() {
-        tell(2, false, entry("s1", "up", 1, "a", 2, 0), entry("s3", "up", 3, "a", 1, 0));
-        assertEquals(List.of("s1 DRAINING 1 0 2.0 0.0"), tell(3, false, entry("s1", "draining", 1, "a", 2, 0)));
+    void requiredChangesAreAdmittedAndReplaceHeldOnes() {
+        applyList(2, false, entry("s1", "up", 1, "a", 2, 0), entry("s3", "up", 3, "a", 1, 0));
+        assertEquals(List.of("s1 DRAINING 1 0 2.0 0.0"), applyList(3, false, entry("s1", "draining", 1, "a", 2, 0)));
         assertEquals(
                 List.of("s3 GONE 3 0 1.0 0.0".replace(" 3 ", " - ")),
-                tell(4, false, entry("s3", "removed", 3, "a", 1, 0)));
+                applyList(4, false, entry("s3", "removed", 3, "a", 1, 0)));
         assertEquals(List.of(), List.copyOf(held.keySet()));
         assertEquals(
                 List.of("s1 DRAINING 1 0 2.0 0.0"),
-                tell(5, false, entry("s1", "up", 1, "a", 2, 0)),
-                "back is an addition");
+                applyList(5, false, entry("s1", "up", 1, "a", 2, 0)),
+                "a server that returns counts as added");
         assertEquals(
                 List.of("s2 READY 2 0 1.0 5.0"),
-                tell(6, false, entry("s2", "up", 2, "a", 1, 5000)),
-                "a restart passes");
+                applyList(6, false, entry("s2", "up", 2, "a", 1, 5000)),
+                "a restart is not held");
     }
 
     @Test
-    void whatAWholeListNoLongerNamesIsOvertaken() {
-        tell(2, false, entry("s3", "up", 3, "a", 1, 0));
-        tell(3, true, entry("s1", "up", 1, "a", 1, 0));
+    void heldChangeOfUnlistedServerIsDiscarded() {
+        applyList(2, false, entry("s3", "up", 3, "a", 1, 0));
+        applyList(3, true, entry("s1", "up", 1, "a", 1, 0));
         assertEquals(List.of(), List.copyOf(held.keySet()));
     }
 
     @Test
-    void whatWasHeldIsTakenUpLaterAsTheListHadIt() {
-        tell(2, false, entry("s3", "up", 3, "b", 1, 4000));
+    void heldEntryIsAppliedLater() {
+        applyList(2, false, entry("s3", "up", 3, "b", 1, 4000));
         held.get("s3").run();
         frozen = false;
-        assertEquals(List.of("s3 DRAINING 3 1 1.0 4.0"), tell(3, false, entry("s3", "draining", 3, "b", 1, 4000)));
-        assertEquals(1, asked.size(), "a drain is not asked about");
+        assertEquals(List.of("s3 DRAINING 3 1 1.0 4.0"), applyList(3, false, entry("s3", "draining", 3, "b", 1, 4000)));
+        assertEquals(1, asked.size(), "a drain needs no permission");
     }
 }
--- a/router/src/test/java/stagepier/app/WarmUpTest.java
+++ b/router/src/test/java/stagepier/app/WarmUpTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import stagepier.settings.SettingsParser;
 
-/** A warm-up whose made-up requests were all turned away would warm nothing. */
+/** Prevents a warm-up whose synthetic requests are all refused, which would not compile the request path. */
 class WarmUpTest {
     @Test
-    void mostOfItsRequestsTakeTheWholeWay() throws Exception {
+    void mostRequestsAreServed() throws Exception {
         var settings = SettingsParser.parse("""
                 {"Classes":[{"Name":"read","Deadline":0.7,"Repeat":"idempotent"}],"Limits":{"MaxAttempts":3}}""");
         EventLoop loop = new DefaultEventLoop();
@@ -20,7 +20,7 @@
             CompletableFuture<Integer> done = new CompletableFuture<>();
             WarmUp.run(loop, settings, done::complete);
             int served = done.get(20, TimeUnit.SECONDS);
-            assertTrue(served > 200, served + " served");
+            assertTrue(served > 200, served + " requests served");
         } finally {
             loop.shutdownGracefully();
         }
--- a/router/src/test/java/stagepier/app/WholeMillisecondWaitsTest.java
+++ b/router/src/test/java/stagepier/app/WholeMillisecondWaitsTest.java
@@ -15,21 +15,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Timers of an event loop, and what waiting for them costs. */
+/** Tests the timers of an event loop and the number of polls while it waits for them. */
 @Timeout(30)
 class WholeMillisecondWaitsTest {
     private static final int TIMERS = 200;
-    /** Each of them is due a little before half a millisecond is over, where a wait rounded to the nearest is none. */
+    /** The remainder is just below half a millisecond, where a wait rounded to the nearest millisecond is 0. */
     private static final long DELAY_MICROSECONDS = 2_450;
 
-    private final AtomicInteger looks = new AtomicInteger();
+    private final AtomicInteger polls = new AtomicInteger();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, WholeMillisecondWaits.ofSockets(this::counting));
+            new MultiThreadIoEventLoopGroup(1, WholeMillisecondWaits.socketHandlers(this::countingStrategy));
 
-    private SelectStrategy counting() {
+    private SelectStrategy countingStrategy() {
         SelectStrategy usual = DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
         return (selectNow, hasTasks) -> {
-            looks.incrementAndGet();
+            polls.incrementAndGet();
             return usual.calculateStrategy(selectNow, hasTasks);
         };
     }
@@ -50,18 +50,18 @@
         "9223372036854775807, 9223372036854775807"
     })
     void waitsAreRoundedUp(long nanos, long rounded) {
-        assertEquals(rounded, WholeMillisecondWaits.roundedUp(nanos));
+        assertEquals(rounded, WholeMillisecondWaits.roundUp(nanos));
     }
 
     @Test
-    void theLoopDoesNotPollUntilATimerIsDue() throws Exception {
+    void loopDoesNotPollUntilTimerIsDue() throws Exception {
         EventLoop loop = group.next();
         loop.submit(() -> {}).sync();
-        int before = looks.get();
+        int before = polls.get();
         for (int timer = 0; timer < TIMERS; timer++) {
             loop.schedule(() -> {}, DELAY_MICROSECONDS, TimeUnit.MICROSECONDS).sync();
         }
-        int turns = looks.get() - before;
+        int turns = polls.get() - before;
         assertTrue(turns <= 5 * TIMERS, turns + " turns for " + TIMERS + " timers");
     }
 
--- a/router/src/test/native/syscall_faults.c
+++ b/router/src/test/native/syscall_faults.c
@@ -1,7 +1,7 @@
 /*
- * Preloaded into a router under test: makes its system calls fail as the test says. The test and this library share
- * one file, named by SYSCALL_FAULTS, that holds one struct fault for each kind of call, in the order of enum kind.
- * Only IPv4 sockets are touched, and of files only those whose name ends with SYSCALL_FAULTS_FILE.
+ * Library that is preloaded into a router under test and makes its system calls fail as the test requests. The test and
+ * the library share one file, named by SYSCALL_FAULTS, that holds one struct fault for each kind of call, in the order
+ * of enum kind. Affects only IPv4 sockets, and only files whose name ends with SYSCALL_FAULTS_FILE.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,10 +24,10 @@
 enum kind { ACCEPT, SOCKET, CONNECT, WAIT, READ, WRITE, OPEN, EPOLL_CREATE, CLOCK, KINDS };
 
 struct fault {
-    int32_t remaining; /* calls that still fail, or are short */
+    int32_t remaining; /* number of further calls that fail or are short */
     int32_t error;     /* errno of a call that fails; 0 for a read or write of one byte */
-    int32_t made;      /* calls that have failed or were short so far */
-    int32_t shift;     /* CLOCK only: seconds by which the wall clock is stepped */
+    int32_t made;      /* number of calls that have failed or were short so far */
+    int32_t shift;     /* CLOCK only: seconds by which the wall clock is shifted */
 };
 
 static struct fault *faults;
@@ -51,7 +51,7 @@
         real = (__typeof__(&name)) dlsym(RTLD_NEXT, #name); \
     }
 
-/* Whether this call is one of those that fail. */
+/* Returns whether this call has to fail, and counts it if so. */
 static int fails(enum kind kind) {
     if (faults == NULL) {
         return 0;
@@ -77,7 +77,7 @@
     return found;
 }
 
-/* For a read or write: 0 for as usual, 1 for one byte only, -1 for a failure. */
+/* Returns 0 to transfer all bytes as requested, 1 to transfer a single byte, -1 to fail. */
 static int transfer(enum kind kind, int fd) {
     if (faults == NULL || __atomic_load_n(&faults[kind].remaining, __ATOMIC_ACQUIRE) <= 0 || !is_ipv4_socket(fd)) {
         return 0;
@@ -161,7 +161,7 @@
     return is_named(path) && fails(OPEN) ? -1 : real(path, flags, mode);
 }
 
-/* The wall clock is stepped; the monotonic clock is not. */
+/* Shifts the wall clock but not the monotonic clock. */
 int clock_gettime(clockid_t clock, struct timespec *time) {
     REAL(clock_gettime);
     int result = real(clock, time);
