--- a/router/src/main/java/stagepier/discovery/DiscoveryWatch.java
+++ b/router/src/main/java/stagepier/discovery/DiscoveryWatch.java
@@ -389,7 +389,7 @@
             JsonElement message = JsonParser.parseString(response.content().toString(StandardCharsets.UTF_8));
             if (group.isOutdated(message, mayBeBehind())) {
                 requestsFullList = !mayBeBehind();
-                throw new IllegalArgumentException("the version of the list is older than the current one");
+                throw new IllegalArgumentException("received an outdated server list");
             }
             change = group.applyFresh(message);
         } catch (IllegalArgumentException | JsonParseException e) {
